--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! What may be sent: the admission check of every send, the retry budget, and load shedding.
 
-use super::{health::RISKY_FAILURE_RATE, Dispatcher, NEVER};
+use super::{health::FAILING_THRESHOLD, Dispatcher, NEVER};
 use crate::interface::{EndpointStatus, Time};
 use crate::state::{CircuitState, Destination, EndpointState, LimitContext, LimitScope, Message};
 use std::collections::BTreeSet;
@@ -33,8 +33,8 @@
         let joins = self.state.has_joinable_call(endpoint, self.now);
         if !joins {
             // Rule 6: a Retry-After binds the whole limit. Rule 4: recovery trials, then a slow start.
-            endpoint_state.limiter.check_open(self.limit_context(destination.endpoint_scope()))?;
-            destination.limiter.check_open(self.limit_context(LimitScope::OwnLimit))?;
+            endpoint_state.limiter.check_limit(self.limit_context(destination.endpoint_scope()))?;
+            destination.limiter.check_limit(self.limit_context(LimitScope::OwnLimit))?;
         }
         let has_slot = joins || self.has_slot(destination, endpoint_state);
         (has_slot && self.has_retry_budget(message, destination)).then_some(()).ok_or(NEVER)
@@ -74,7 +74,7 @@
     fn has_slot(&self, destination: &Destination, endpoint: &EndpointState) -> bool {
         let limiter = &destination.limiter;
         let healthy = [limiter.circuit, endpoint.limiter.circuit] == [CircuitState::Closed; 2];
-        let failing = !healthy || limiter.failures.rate > RISKY_FAILURE_RATE;
+        let failing = !healthy || limiter.failures.rate > FAILING_THRESHOLD;
         let slow = destination.recent_latency > SLOW_LATENCY_MULTIPLE * destination.usual_latency;
         let slots = self.settings.max_in_flight_calls;
         let cap = if failing || slow { slots / 2 } else { slots * 3 / 4 };
@@ -98,9 +98,9 @@
     fn lacks_slot(&self, id: u32) -> bool {
         let destination = &self.state.destinations[id];
         let context = self.limit_context(destination.endpoint_scope());
-        let is_open = |id: &u32| self.state.endpoints[*id].limiter.check_open(context).is_ok();
+        let is_open = |id: &u32| self.state.endpoints[*id].limiter.check_limit(context).is_ok();
         !destination.queue.is_empty()
-            && destination.limiter.check_open(context.for_destination()).is_ok()
+            && destination.limiter.check_limit(context.for_destination()).is_ok()
             && destination.endpoints.iter().any(is_open)
     }
 
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -6,18 +6,22 @@
 use crate::state::CircuitState::{Closed, Open, SlowStart};
 use crate::state::{DueAttempt, EjectionCause, LimitContext, LimitScope, Limiter, Silence};
 
-/// Weight of the newest outcome in the failure rate, which a handful of outcomes settle.
+/// Weight of the newest call in the moving averages (EWMA) of the failure rate and of the recent latency.
+/// Five calls have more than four fifths of the weight.
 pub(super) const EWMA_WEIGHT: f64 = 0.3;
-/// Failure rate above which a limit counts as failing: higher than that of occasional errors.
-pub(super) const RISKY_FAILURE_RATE: f64 = 0.25;
-/// Rejections in a row from which a destination without reports may be shut.
-const MIN_SHUT_REJECTIONS: u32 = 3;
-/// Reported part of the capacity above which a rejection means shut: at the limit none would be left.
-const SHUT_CAPACITY_RATIO: f64 = 0.75;
+/// Failure rate above which a limit counts as failing, though it is not ejected: higher than that of
+/// occasional errors.
+pub(super) const FAILING_THRESHOLD: f64 = 0.25;
+/// Failures and rejections in a row from which a rejection without a Retry-After and without a report of the
+/// capacity left may mean an outage.
+const MIN_OUTAGE_REJECTIONS: u32 = 3;
+/// Capacity left, as a ratio of the limit, above which a rejection that reports it means an outage: a call
+/// above the limit would be rejected with none left.
+const OUTAGE_CAPACITY_LEFT: f64 = 0.75;
 
 impl Dispatcher {
-    /// Ejects limits that have answered nothing since a call was sent that is overdue now. Cancels overdue
-    /// calls whose slot others want, and those that hang while other endpoints answer and may be retried.
+    /// Ejects each limit that has answered nothing since one of its overdue attempts was sent. Cancels
+    /// overdue attempts whose slot is needed, and retryable ones whose endpoint alone is silent.
     pub(super) fn detect_silence(&mut self) {
         let overdue = self.state.overdue_index.all_due(self.now, |_| true);
         self.wake_up.want_by(overdue.next_due_at.unwrap_or(NEVER));
@@ -39,6 +43,8 @@
         }
     }
 
+    /// Makes the class of an overdue attempt avoid its endpoint until the attempt's deadline, and ejects the
+    /// limiters of the endpoint and of the destination if these are silent.
     fn record_silence(&mut self, overdue: &DueAttempt, silence: Silence) {
         let Silence { endpoint: id, destination, class, .. } = silence;
         let chance = self.random.draw();
@@ -58,17 +64,21 @@
         }
     }
 
+    /// Whether to cancel an overdue attempt: to free its slot, if the message may be retried or the attempt
+    /// has taken more than twice its overdue span; or to retry at another endpoint, as only this one is
+    /// silent.
     fn should_cancel(&self, overdue: &DueAttempt, silence: Silence, slots_wanted: bool) -> bool {
         let may_resend = self.may_resend(&self.state.messages[&overdue.message], None);
         let twice_overdue = self.now > overdue.due_at + (overdue.due_at - overdue.sent_at);
-        let hangs_alone = silence.endpoint_silent && !silence.destination_silent;
+        let only_endpoint_silent = silence.endpoint_silent && !silence.destination_silent;
         let frees_slot = slots_wanted && (may_resend || twice_overdue);
-        self.settings.cancellation_allowed && (frees_slot || hangs_alone && may_resend)
+        self.settings.cancellation_allowed && (frees_slot || only_endpoint_silent && may_resend)
     }
 }
 
 impl Limiter {
-    /// Records the first outcome of a call that was sent at `sent_at`; any but a success lowers the rate.
+    /// Records the outcome of a call that was sent at `sent_at`. Any but a success delays the next call with
+    /// jitter, drawn from `chance`, a random number in [0, 1).
     pub(super) fn record_outcome(
         &mut self,
         sent_at: Time,
@@ -99,6 +109,8 @@
         self.defer_calls(chance, context);
     }
 
+    /// Lowers the failure rate, adjusts `shares_taken` to the capacity left that came with the success, and
+    /// moves the circuit breaker towards [`Closed`].
     fn record_success(&mut self, sent_at: Time, context: LimitContext) {
         let LimitContext { now, settings, .. } = context;
         self.failures.consecutive = 0;
@@ -107,48 +119,52 @@
         self.shares_taken = (self.shares_taken * (1.0 + SHARE_GROWTH_RATE * growth)).max(SHARE_FILL_RATIO);
         self.failures.rate -= EWMA_WEIGHT * self.failures.rate;
         self.served.count(now, settings.overload_window);
-        // The limit was slow, not down: nothing failed, and a call sent before the silence is answered or the
-        // silence was short. A slow start from before the silence continues.
+        // The limit was slow, not down, if it was ejected for silence only, and this call was sent before the
+        // ejection or the ejection is less than an overload window old. It returns to its state before that.
         let was_slow = |since: Time| sent_at < since || now < since + settings.overload_window;
         self.circuit = match self.circuit {
             Open { since, confirmed: false } if was_slow(since) => self.circuit_before_open,
             Open { .. } => {
-                self.failures.rate = self.failures.rate.min(2.0 * RISKY_FAILURE_RATE);
+                self.failures.rate = self.failures.rate.min(2.0 * FAILING_THRESHOLD);
                 SlowStart { since: now }
             }
-            // One success among failures is no recovery: the slow start begins again.
-            SlowStart { .. } if self.failures.rate > RISKY_FAILURE_RATE => SlowStart { since: now },
+            // One success among failures is no recovery: the slow start restarts.
+            SlowStart { .. } if self.failures.rate > FAILING_THRESHOLD => SlowStart { since: now },
             SlowStart { since } if now > since + settings.slow_start_duration => Closed,
             other => other,
         };
     }
 
+    /// Takes a rejection for an outage, with slow start from the end of its Retry-After or else ejection, or
+    /// for a call above the limit, which cuts the rate.
     fn record_rejection(&mut self, sent_at: Time, retry_after: Time, context: LimitContext) {
         self.failures.last_not_executed = true;
-        let shut = self.is_ejected() || self.is_shut(sent_at, retry_after, context);
-        if shut && retry_after > 0 {
+        let outage = self.is_ejected() || self.is_outage(sent_at, retry_after, context);
+        if outage && retry_after > 0 {
             self.circuit = SlowStart { since: self.retry_after_until };
-        } else if shut {
+        } else if outage {
             self.eject(context.now, EjectionCause::Failure);
         } else if context.scope == LimitScope::OwnLimit {
             self.cut_rate(context);
         }
     }
 
-    /// Whether a rejection means that the destination is shut, not that the call was above the limit: its
-    /// Retry-After is longer than the window of limits, or capacity is reported left. With nothing reported,
-    /// rejections without a success must last longer than such a window.
-    fn is_shut(&self, sent_at: Time, retry_after: Time, context: LimitContext) -> bool {
+    /// Whether a rejection means an outage of the destination rather than a call above its limit: its
+    /// Retry-After is longer than an overload window, or it reports capacity left and its call was sent after
+    /// the first failure in the row. Where it reports nothing, the failures in a row and the Retry-After must
+    /// together last one and a half windows.
+    fn is_outage(&self, sent_at: Time, retry_after: Time, context: LimitContext) -> bool {
         let window = context.settings.overload_window;
-        let long_rejected = self.failures.since + window * 3 / 2 <= context.now + retry_after;
-        let shut_unreported =
-            long_rejected && (retry_after > 0 || self.failures.consecutive >= MIN_SHUT_REJECTIONS);
-        let capacity_left = self.report.capacity_left > SHUT_CAPACITY_RATIO && sent_at >= self.failures.since;
+        let long_failing = self.failures.since + window * 3 / 2 <= context.now + retry_after;
+        let enough_evidence = retry_after > 0 || self.failures.consecutive >= MIN_OUTAGE_REJECTIONS;
+        let capacity_left =
+            self.report.capacity_left > OUTAGE_CAPACITY_LEFT && sent_at >= self.failures.since;
         let reported = self.report.received_at == context.now;
-        retry_after > window || if reported { capacity_left } else { shut_unreported }
+        retry_after > window || if reported { capacity_left } else { long_failing && enough_evidence }
     }
 
-    /// Records that nothing was answered since an overdue call was sent; true if that ejects the limit.
+    /// Ejects the limit because nothing was answered since an overdue call was sent; false if it was ejected
+    /// before.
     fn record_silence(&mut self, chance: f64, context: LimitContext) -> bool {
         let ejected = self.eject(context.now, EjectionCause::Silence);
         if ejected {
--- a/src/policy/rate.rs
+++ b/src/policy/rate.rs
@@ -1,39 +1,42 @@
-//! How many calls a second this courier may make at a limit that other couriers use as well.
+//! Rate limiting: a token bucket for each limit, refilled at this courier's share of the limit.
 
-use super::{health::RISKY_FAILURE_RATE, NANOS_PER_SECOND};
+use super::{health::FAILING_THRESHOLD, NANOS_PER_SECOND};
 use crate::interface::{RateAccuracy, Settings, Time};
 use crate::state::{seconds, CircuitState, LimitContext, LimitScope, Limiter};
 
-/// Part of the overload budget that is used where a courier's part of it is several calls in an overload
-/// window: variations in travel time may bring more of them together.
+/// Share of its overload budget that a courier spends where the budget is at least half a call per overload
+/// window. Variable network latency can bring more calls into one window than were sent in it.
 const BUDGET_RATIO: f64 = 0.9;
-/// The same where a courier's part is less than one call: chance may bring the calls of several together.
+/// That share at a budget near 0, from where it grows linearly: calls of several couriers may coincide.
 const SPARSE_BUDGET_RATIO: f64 = 0.5;
-/// Overload windows before the first failure seen here in which other couriers may have seen the outage.
+/// How long before this courier's first failure others may have seen the outage, in overload windows.
 const SEEN_BEFORE_WINDOWS: f64 = 2.0;
-/// Calls in an overload window that any destination bears from all couriers together.
+/// Calls per overload window, from all couriers together, that any destination can take during an outage.
 const MIN_WINDOW_CALLS: f64 = 4.0;
-/// What couriers that know of an outage may send together, as a part of what those send that do not know.
+/// Call rate of all couriers that know of an outage, as a ratio of the rate of those that do not know yet.
 const INFORMED_CALLS_RATIO: f64 = 0.2;
-/// Least number of seconds over which the usual rate is averaged.
+/// Minimum averaging time of the usual rate, in seconds; smaller shares than one call in it do not adapt.
 const MIN_USUAL_RATE_SECONDS: f64 = 10.0;
-/// Factor on the time that rejections last, which gives the period in which couriers that want the limit are
-/// counted: retries must stay under the limit together, as rejected calls may use it up.
+/// Interval between a courier's calls after a rejection above the limit, as a multiple of the time for which
+/// rejections last: all retries together must stay under the limit, as rejected calls may use it up.
 const REJECTED_PERIOD_FACTOR: f64 = 10.0;
-/// Part of a limit that hundreds may fill together: chance fills the rest, and rejected calls use it up.
+/// Target utilization of a limit by hundreds of couriers. The rest absorbs random bursts; above the limit,
+/// rejected calls may use it up.
 pub(super) const SHARE_FILL_RATIO: f64 = 0.8;
-/// Growth of the shares taken with a success at which all capacity is reported left: others' grow too.
+/// Relative growth of `shares_taken` with a success that reports all capacity left, and its decrease with one
+/// that reports none; small, as all couriers adapt to the same reports.
 pub(super) const SHARE_GROWTH_RATE: f64 = 0.1;
-/// Seconds of the rate that may be saved up as tokens for a burst; destinations queue about as much.
+/// Capacity of the token bucket, as seconds of its rate; destinations queue about as much.
 pub(super) const BURST_SECONDS: f64 = 0.5;
-/// By how much an approximate rate may exceed the true one.
+/// Factor by which an approximate rate limit may exceed the true one.
 const APPROXIMATE_RATE_ERROR: f64 = 1.5;
-/// Least rate in calls a second by which the time until the next token is computed.
+/// Lower bound, in calls a second, of the rate that the wait for the next token is divided by.
 const MIN_RATE: f64 = 1e-9;
 
 impl Limiter {
-    /// Checks the Retry-After (rule 6) and then the rate; `Err` is when to check again.
-    pub(super) fn check_open(&self, context: LimitContext) -> Result<(), Time> {
+    /// Checks that no Retry-After is pending (rule 6) and that a token is available; `Err` is when to check
+    /// again.
+    pub(super) fn check_limit(&self, context: LimitContext) -> Result<(), Time> {
         if self.retry_after_until > context.now {
             return Err(self.retry_after_until);
         }
@@ -42,30 +45,32 @@
         if tokens >= 1.0 {
             return Ok(());
         }
-        // The rate of a recovery grows: check again before long.
+        // The rate of a recovery grows: the next token may come sooner than computed.
         let wait = ((1.0 - tokens) / rate.max(MIN_RATE)).min(context.window_seconds());
         Err(context.now + (wait * NANOS_PER_SECOND) as Time + 1)
     }
 
-    /// Spends the tokens of one call; `chance` is a random number in [0, 1).
+    /// Takes the cost of one call from the bucket: 1 ± jitter. `chance` is a random number in [0, 1).
     pub(super) fn spend_token(&mut self, chance: f64, context: LimitContext) {
-        let cost = 1.0 + self.randomness(context) * (2.0 * chance - 1.0);
+        let cost = 1.0 + self.jitter_ratio(context) * (2.0 * chance - 1.0);
         self.bucket.tokens = (self.available_tokens(context) - cost).max(-1.0);
         self.bucket.refilled_at = context.now;
     }
 
-    /// Gives up saved tokens after a failure and delays the next call at random, beyond any Retry-After. The
-    /// first recovery trials of all couriers are spread over one interval between trials.
+    /// After a failure, keeps one token at most and adds jitter to the time of the next call: up to two call
+    /// intervals times the jitter ratio, after any Retry-After. The first recovery trials of all couriers are
+    /// spread over one interval between trials.
     pub(super) fn defer_calls(&mut self, chance: f64, context: LimitContext) {
-        let randomness = self.randomness(context);
+        let jitter_ratio = self.jitter_ratio(context);
         let saved = self.available_tokens(context).min(1.0);
         let just_ejected = matches!(self.circuit, CircuitState::Open { since, .. } if since == context.now);
-        let spread = if just_ejected { (1.0 / randomness).min(2.0) } else { 2.0 };
-        self.bucket.tokens = (1.0 - randomness) * saved + randomness * (1.0 - spread * chance);
+        let spread = if just_ejected { (1.0 / jitter_ratio).min(2.0) } else { 2.0 };
+        self.bucket.tokens = (1.0 - jitter_ratio) * saved + jitter_ratio * (1.0 - spread * chance);
         self.bucket.refilled_at = context.now.max(self.retry_after_until);
     }
 
-    /// Lowers the rate after a rejection above the limit, and drops saved tokens and the reported capacity.
+    /// After a rejection above the limit, empties the bucket, sets the reported capacity left to 0 and lowers
+    /// the rate to [`SHARE_FILL_RATIO`] of the fair share.
     pub(super) fn cut_rate(&mut self, context: LimitContext) {
         self.rejected_above_limit = true;
         self.bucket.refilled_at = context.now;
@@ -76,21 +81,23 @@
         self.shares_taken = SHARE_FILL_RATIO * fair_rate / self.equal_share(context.settings);
     }
 
+    /// Tokens in the bucket now, refilled at the present rate. The bucket holds [`BURST_SECONDS`] of that
+    /// rate, but at least one token.
     fn available_tokens(&self, context: LimitContext) -> f64 {
         let rate = self.rate(context).unwrap_or(f64::INFINITY);
         let elapsed = seconds(context.now.saturating_sub(self.bucket.refilled_at));
         (self.bucket.tokens + rate * elapsed).min((rate * BURST_SECONDS).max(1.0))
     }
 
-    /// How much of a call's cost is random, 0 to 1: nothing where an overload window holds several calls.
-    /// Where it holds less than one, couriers that learned of an outage together must not return together.
-    fn randomness(&self, context: LimitContext) -> f64 {
+    /// Jitter as a ratio of a call's cost: `max(0, 1 - rate * overload window)`. It keeps couriers that learn
+    /// of an outage together from returning together; at a call or more in a window it is not needed.
+    fn jitter_ratio(&self, context: LimitContext) -> f64 {
         let rate = self.rate(context).unwrap_or(f64::INFINITY);
         1.0 - (rate * context.window_seconds()).min(1.0)
     }
 
-    /// The rate in calls a second, or `None` when it is not bounded. When healthy, it is the fair share and
-    /// an equal part of the capacity reported left, as all read the same figure; otherwise rule 4 applies.
+    /// The refill rate of the bucket in calls a second, or `None` when it is not bounded. Rule 4 bounds it
+    /// while the limit fails or recovers.
     fn rate(&self, context: LimitContext) -> Option<f64> {
         let Some(capacity_ratio) = self.recovery_ratio(context) else {
             return self.healthy_rate(context);
@@ -101,6 +108,9 @@
         }
     }
 
+    /// `(1 + capacity left) * fair share`, in calls a second: all couriers read the same reports, so each
+    /// takes an equal part of what is left. `None` without an exact limit, unless the last calls were
+    /// rejected above it.
     fn healthy_rate(&self, context: LimitContext) -> Option<f64> {
         let reported_until = self.report.received_at + NANOS_PER_SECOND as Time;
         let fresh = self.failures.consecutive == 0 && context.now < reported_until;
@@ -109,16 +119,17 @@
         bounded.then(|| (1.0 + capacity_left) * self.fair_rate(context.settings))
     }
 
-    /// The part of its capacity that a limit has while it fails or recovers; `None` when it has all of it.
+    /// Present capacity of a limit as a ratio of its full one: `slow_start_ratio` while it fails, then
+    /// growing linearly to 1 during slow start. `None` for full capacity.
     fn recovery_ratio(&self, context: LimitContext) -> Option<f64> {
         let initial = context.settings.slow_start_ratio;
         let duration = context.settings.slow_start_duration;
         match self.circuit {
             CircuitState::Open { .. } => Some(initial),
             CircuitState::Closed => {
-                // One failure may be all that is seen of an outage: slow start until the next success.
-                let harmful = !self.failures.last_not_executed || self.failures.rate > RISKY_FAILURE_RATE;
-                (self.failures.consecutive > 0 && harmful).then_some(initial)
+                // One failure may be all that is seen of an outage: initial ratio until the next success.
+                let outage = !self.failures.last_not_executed || self.failures.rate > FAILING_THRESHOLD;
+                (self.failures.consecutive > 0 && outage).then_some(initial)
             }
             CircuitState::SlowStart { since } => {
                 let progress = context.now.saturating_sub(since) as f64 / duration.max(1) as f64;
@@ -128,8 +139,8 @@
         }
     }
 
-    /// The rate that rule 4 allows: the courier's part of a budget for all couriers that know of the outage.
-    /// Each message for the destination since then has informed at most one courier.
+    /// The rate that rule 4 allows, in calls a second: an equal share of `overload_ratio * present capacity`
+    /// among the couriers that know of the outage. Each call since its start informs at most one of them.
     fn recovery_rate(&self, capacity_ratio: f64, context: LimitContext) -> f64 {
         let window = context.window_seconds();
         let couriers = f64::from(context.settings.courier_count.max(1));
@@ -141,11 +152,11 @@
         let budget = context.settings.overload_ratio * capacity_ratio * capacity / informed;
         let density = (2.0 * budget * window).min(1.0);
         let budget_rate = budget * (SPARSE_BUDGET_RATIO + (BUDGET_RATIO - SPARSE_BUDGET_RATIO) * density);
-        // Uninformed couriers send as ever; beside them informed ones may send a small part of that.
-        let full_beside_rate = INFORMED_CALLS_RATIO * capacity / informed_after(self.failures.seconds());
-        let beside_rate = full_beside_rate * (1.0 - informed / couriers);
+        // Uninformed couriers send at their usual rate; the informed ones may add a small ratio of that.
+        let full_informed_rate = INFORMED_CALLS_RATIO * capacity / informed_after(self.failures.seconds());
+        let informed_rate = full_informed_rate * (1.0 - informed / couriers);
         let least_rate = (MIN_WINDOW_CALLS / couriers).min(1.0) / window;
-        let rate = budget_rate.max(beside_rate).max(least_rate);
+        let rate = budget_rate.max(informed_rate).max(least_rate);
         if self.is_ejected() {
             rate.min(1.0 / window)
         } else {
@@ -153,9 +164,9 @@
         }
     }
 
-    /// This courier's part of the limit among the couriers that want it at once: all of it where they are
-    /// few. Otherwise they are taken to be as many as the calls in an overload window, more the longer it
-    /// rejects. After a rejection it is what successes have shown to be free, if calls are frequent enough.
+    /// This courier's fair share of the limit, in calls a second: `max(equal share, demand / period)`. In one
+    /// period, the overload window or longer after a rejection, as many couriers are taken to want the limit
+    /// as it admits calls. At most `shares_taken` equal shares, unless these are too small to adapt.
     fn fair_rate(&self, settings: &Settings) -> f64 {
         let equal_share = self.equal_share(settings);
         let window = seconds(settings.overload_window);
@@ -167,8 +178,8 @@
         equal_share.max(self.demand(equal_share * period) / period).min(learned_rate)
     }
 
-    /// An equal share among all couriers in calls a second: of the reported limit, or else of the most calls
-    /// that were served in an overload window.
+    /// `reported limit / courier count`, in calls a second. Without a report, the rate in this courier's peak
+    /// overload window, less one call of it.
     pub(super) fn equal_share(&self, settings: &Settings) -> f64 {
         if self.report.rate_limit > 0.0 {
             return self.report.rate_limit / f64::from(settings.courier_count.max(1));
@@ -176,22 +187,22 @@
         (self.served.peak_window_calls - 1.0).max(0.0) / seconds(settings.overload_window)
     }
 
-    /// The number of waiting messages that count for the rate, at least 1, where `mean` is that of all
-    /// couriers. With a mean of 1 or more each courier is taken to have as many as this one. With less, most
-    /// have none waiting, and a courier that has several needs more.
+    /// Factor on the rate for the messages that wait here: `1 + (waiting - 1) * (1 - mean)`, at least 1, with
+    /// the estimated messages of an average courier as `mean`. At 1 or more, the others are taken to have as
+    /// many as this one; below 1, most have none waiting, and a courier that has several needs more.
     fn demand(&self, mean: f64) -> f64 {
         1.0 + (self.waiting_messages - 1.0).max(0.0) * (1.0 - mean).max(0.0)
     }
 
-    /// Calls a second that were served here, averaged over the time since the limit is known.
+    /// This courier's served calls a second, averaged over the time since the limit is known.
     pub(super) fn usual_rate(&self, now: Time) -> f64 {
         let known_seconds = seconds(now.saturating_sub(self.served.known_since));
         self.served.calls / known_seconds.max(MIN_USUAL_RATE_SECONDS)
     }
 
-    /// The calls a second that the limit takes from all couriers, as far as is known: the most of what was
-    /// reported, the mean of this courier times all, and what its peak window shows. That peak stands for
-    /// other couriers too, but for no more of them than its calls: one that saw two at most is one of many.
+    /// Estimated capacity of the limit for all couriers, in calls a second: the greatest of the reported
+    /// limit, `couriers * usual rate`, the rate of the peak window times couriers, and one call a window. The
+    /// peak is multiplied by its number of calls at most: a courier that saw two calls in it is one of many.
     fn capacity(&self, context: LimitContext) -> f64 {
         let window = context.window_seconds();
         let couriers = f64::from(context.settings.courier_count.max(1));
