--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,5 @@
-//! Every decision of the library, one file a concern. What the decisions are based on is in [`crate::state`].
+//! The decisions of the library, one file per concern. The state that they are based on is in
+//! [`crate::state`].
 //!
 //! "Rule 1" to "rule 6" in comments are the six rules that the crate documentation lists.
 
@@ -15,30 +16,30 @@
 use crate::interface::{Action, Event, Settings, Time};
 use crate::state::{DispatchState, LatencySamples, ListPoll, Random, RecoveredAttempts, WakeUpTimer};
 
-/// A time that never comes: only an event can change anything.
+/// A time that never comes: nothing is due until an event arrives.
 const NEVER: Time = Time::MAX;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// The decisions of one courier.
+/// Decides for one courier process which messages are sent, retried, hedged, cancelled, rejected or given up.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     settings: Settings,
     random: Random,
     now: Time,
     wake_up: WakeUpTimer,
-    /// How much later than requested this cycle came.
+    /// How late this decision cycle started, relative to the wake-up requested; 0 if it was not late.
     delay: Time,
     state: DispatchState,
-    /// Recent latencies of served calls, whatever the destination.
+    /// Recent latencies of served calls to all destinations.
     latencies: LatencySamples,
     list_poll: ListPoll,
-    /// Attempts cannot be recorded at present.
+    /// Attempts cannot be recorded at present ([`Event::RecordingChanged`]).
     records_unavailable: bool,
     actions: Vec<Action>,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that knows no endpoints and no messages; `seed` determines its random numbers.
+    /// Creates a dispatcher without endpoints and messages; `seed` is the seed of its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let next_at = if settings.endpoint_list_polled { 0 } else { NEVER };
         Dispatcher {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Runs one decision cycle: applies all events since the last one, at clock time `now`, and returns the
-    /// actions to carry out, in their order. A `now` before that of the last cycle counts as that.
+    /// Runs one decision cycle at clock time `now`: applies all events since the last cycle, and returns the
+    /// actions to carry out, in order. A `now` earlier than that of the last cycle is replaced by that.
     pub fn decide(&mut self, now: Time, events: Vec<Event>) -> Vec<Action> {
         self.now = self.now.max(now);
         self.delay = self.wake_up.start_cycle(self.now);
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Whether a Retry-After binds this endpoint at `now`. A call whose connection took long to make is
-    /// checked with it once more before it is written: the Retry-After may have come meanwhile (rule 6).
+    /// Whether a Retry-After applies to this endpoint at `now` (rule 6). The courier checks this again before
+    /// it writes a call on a new connection: a Retry-After may have arrived while the connection was made.
     pub fn retry_after_pending(&self, now: Time, endpoint: u32) -> bool {
         self.state.limiter(endpoint).is_some_and(|limiter| limiter.retry_after_until > now)
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,24 +1,26 @@
-//! What may be sent: the admission check of every send, the retry budget, and load shedding.
+//! Admission control: the check that every send passes, the retry budget, the slots of each destination, and
+//! load shedding.
 
 use super::{health::FAILING_THRESHOLD, Dispatcher, NEVER};
 use crate::interface::{EndpointStatus, Time};
 use crate::state::{CircuitState, Destination, EndpointState, LimitContext, LimitScope, Message};
 use std::collections::BTreeSet;
 
-/// Tokens of a full retry budget: a few seconds of calls, as a courier makes a few a second to a destination.
+/// Tokens in a full retry budget of a destination. A served call adds one, and a courier makes a few calls a
+/// second to a destination, so a full budget takes a few seconds of calls.
 pub(super) const RETRY_BUDGET_TOKENS: f64 = 10.0;
-/// Tokens that a failure costs: after two failures in a row a full budget allows no retry and no hedge.
+/// Tokens that a failed or rejected call takes: two in a row bring a full budget below [`MIN_RETRY_TOKENS`].
 pub(super) const FAILURE_RETRY_TOKENS: f64 = 3.0;
-/// Tokens above which retries and hedges are allowed.
+/// Tokens that the retry budget must exceed to allow retries and hedges.
 pub(super) const MIN_RETRY_TOKENS: f64 = RETRY_BUDGET_TOKENS / 2.0;
-/// Part of `max_in_flight_messages` from which load is shed: at all of it the courier rejects any message.
+/// Load is shed above this ratio of `max_in_flight_messages`: at 1 the courier would reject any new message.
 const SHED_THRESHOLD: f64 = 0.9;
-/// Multiple of its usual latency above which a destination counts as slow.
+/// A destination counts as slow while its recent latency exceeds this multiple of its usual latency.
 const SLOW_LATENCY_MULTIPLE: f64 = 3.0;
 
 impl Dispatcher {
-    /// Checks whether a message may be sent to an endpoint now. Every send passes this check; `Err` is when
-    /// to check again, [`NEVER`] when only an event can change the answer.
+    /// Checks whether a message may be sent to an endpoint now. Every send passes this check. `Err` is the
+    /// time at which to check again, or [`NEVER`] when only an event can change the result.
     pub(super) fn check_send(&self, message: &Message, endpoint: u32) -> Result<(), Time> {
         let endpoint_state = self.state.endpoints.get(endpoint).ok_or(NEVER)?;
         let destination = self.state.destinations.get(message.destination).ok_or(NEVER)?;
@@ -29,10 +31,11 @@
             return Err(destination.local_backoff_until);
         }
         self.check_key(message)?;
-        // A send that joins a call of this cycle needs no token, no slot and no end of a Retry-After.
+        // A message that joins a call started in this cycle needs no token, slot or Retry-After check of its
+        // own.
         let joins = self.state.has_joinable_call(endpoint, self.now);
         if !joins {
-            // Rule 6: a Retry-After binds the whole limit. Rule 4: recovery trials, then a slow start.
+            // Rule 6: a Retry-After applies to the whole limit. Rule 4: recovery trials, then slow start.
             endpoint_state.limiter.check_limit(self.limit_context(destination.endpoint_scope()))?;
             destination.limiter.check_limit(self.limit_context(LimitScope::OwnLimit))?;
         }
@@ -40,7 +43,8 @@
         (has_slot && self.has_retry_budget(message, destination)).then_some(()).ok_or(NEVER)
     }
 
-    /// Rule 5: one message of an ordering key at a time, in turn, the first attempt after the key's cooldown.
+    /// Rule 5: only the oldest message of an ordering key may be sent, and its first attempt only after the
+    /// cooldown of the key.
     fn check_key(&self, message: &Message) -> Result<(), Time> {
         match self.state.key_queues.get(message.ordering_key) {
             Some(queue) if !queue.is_first(message.position()) => Err(NEVER),
@@ -51,9 +55,10 @@
         }
     }
 
-    /// Rule 1: nothing for a message that is completed or about to be. Rule 2: no second effect, and two in
-    /// flight only where hedging is allowed. Rule 3: nothing to an endpoint that is draining or removed.
-    /// Rules 2 and 5 across restarts: nothing that cannot be recorded.
+    /// Rule 1: no attempt for a message that is completed or within two ticks of its deadline. Rule 2: no
+    /// attempt that could take effect a second time, and two in flight only where hedging is allowed. Rule 3:
+    /// no attempt at an endpoint that is draining or removed. Rules 2 and 5 across restarts: no attempt that
+    /// needs a record while none can be written.
     fn may_attempt(&self, message: &Message, endpoint: &EndpointState) -> bool {
         !message.completed
             && !self.awaits_recording(message)
@@ -63,14 +68,17 @@
             && endpoint.status == EndpointStatus::Ready
     }
 
-    /// A retry or hedge needs the budget. With nothing else in flight one is allowed, to refill it.
+    /// Whether the retry budget of the destination allows this send. A message of which no attempt may have
+    /// been executed needs none. Neither does a retry while the destination has no call in flight, as only
+    /// a served call refills the budget.
     fn has_retry_budget(&self, message: &Message, destination: &Destination) -> bool {
         let others_in_flight = message.attempts_in_flight > 0 || destination.calls_in_flight > 0;
-        let extra = !message.possibly_executed.is_empty() && others_in_flight;
-        !extra || destination.retry_tokens > MIN_RETRY_TOKENS
+        let needs_budget = !message.possibly_executed.is_empty() && others_in_flight;
+        !needs_budget || destination.retry_tokens > MIN_RETRY_TOKENS
     }
 
-    /// One destination gets three quarters of the slots at most, and half of them while it fails or is slow.
+    /// Whether a slot is free for a new call to the destination (bulkhead): one destination may occupy three
+    /// quarters of the slots, or half of them while it fails, recovers or is slow, and always at least one.
     fn has_slot(&self, destination: &Destination, endpoint: &EndpointState) -> bool {
         let limiter = &destination.limiter;
         let healthy = [limiter.circuit, endpoint.limiter.circuit] == [CircuitState::Closed; 2];
@@ -85,16 +93,18 @@
         LimitContext { now: self.now, scope, settings: &self.settings }
     }
 
+    /// Calls that may be started before the courier has `max_in_flight_calls`.
     pub(super) fn free_slots(&self) -> usize {
         (self.settings.max_in_flight_calls as usize).saturating_sub(self.state.attempts.call_count())
     }
 
-    /// Whether at most `spare` slots are free while messages wait for a slot and nothing else.
+    /// Whether at most `spare` slots are free while messages wait that only lack a slot.
     pub(super) fn is_short_of_slots(&self, spare: usize) -> bool {
         let lacks_slot = |&id: &u32| self.lacks_slot(id);
         self.free_slots() <= spare && self.state.wait_queue.destinations.iter().any(lacks_slot)
     }
 
+    /// Whether messages wait for a destination although its limit and that of an endpoint would admit a call.
     fn lacks_slot(&self, id: u32) -> bool {
         let destination = &self.state.destinations[id];
         let context = self.limit_context(destination.endpoint_scope());
@@ -104,10 +114,12 @@
             && destination.endpoints.iter().any(is_open)
     }
 
-    /// Rejects waiting messages of least weight in two cases. Near the most messages in flight, as at that
-    /// the courier would reject any new one, whatever its weight. And when no slot is free, as far as more
-    /// messages wait for a slot only than the slots serve within the longest latency objective at the 95th
-    /// percentile of latency: served oldest first, all of them would be late.
+    /// Load shedding: rejects waiting messages of least weight, in two cases.
+    ///
+    /// Above [`SHED_THRESHOLD`], it rejects the messages in excess: at the maximum the courier would reject
+    /// any new message, whatever its weight. When no slot is free, it rejects as many as exceed `slots *
+    /// longest latency objective / 95th percentile of latency` among the messages that only lack a slot: sent
+    /// oldest first, all of them would miss their objective.
     pub(super) fn shed_load(&mut self) {
         let in_flight = self.state.deadlines.len() as f64;
         let excess = in_flight - SHED_THRESHOLD * f64::from(self.settings.max_in_flight_messages);
@@ -119,12 +131,13 @@
         let slots = f64::from(self.settings.max_in_flight_calls);
         let served = slots * objectives.max().unwrap_or(0) as f64 / latency.max(1) as f64;
         let destinations = self.state.wait_queue.destinations.iter().copied();
-        let blocked: BTreeSet<u32> = destinations.filter(|&id| self.lacks_slot(id)).collect();
-        let waiting: usize = blocked.iter().map(|&id| self.state.destinations[id].queue.len()).sum();
-        self.shed(&blocked, waiting as f64 - served);
+        let lacking_slot: BTreeSet<u32> = destinations.filter(|&id| self.lacks_slot(id)).collect();
+        let waiting: usize = lacking_slot.iter().map(|&id| self.state.destinations[id].queue.len()).sum();
+        self.shed(&lacking_slot, waiting as f64 - served);
     }
 
-    /// Rejects up to `count` messages that wait for these destinations, those of least weight first.
+    /// Sheds up to `count` messages that wait for these destinations, those of least weight first, and
+    /// advises the longest Retry-After.
     fn shed(&mut self, destinations: &BTreeSet<u32>, count: f64) {
         let weight = |class: usize, accepted_at: Time| {
             let age = self.now.saturating_sub(accepted_at);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,27 +1,31 @@
-//! Dispatch: which message is sent next, and to which endpoint.
+//! Dispatch: which message is sent next, and to which endpoint (least cost).
 
 use super::{rate::BURST_SECONDS, Dispatcher, NEVER};
 use crate::interface::{Action, Time};
 use crate::state::{LimitContext, LimitScope, Limiter};
 use std::collections::VecDeque;
 
-/// Weight in the selection of the jitter by which couriers prefer different endpoints, in calls in flight.
+/// Cost of a unit of an endpoint's jitter, in calls in flight. Jitter makes couriers prefer different
+/// endpoints.
 const JITTER_CALLS: f64 = 0.5;
-/// Weight in the selection of an endpoint's failure rate of 1, in calls in flight.
+/// Cost of a failure rate of 1 at an endpoint, in calls in flight.
 const FAILURE_RATE_CALLS: f64 = 4.0;
-/// Weight in the selection of a price of 1 for reaching an endpoint, in calls in flight.
+/// Cost of a price of 1 for reaching an endpoint, in calls in flight.
 const PRICE_CALLS: f64 = 10.0;
 
-/// An endpoint that a message may be sent to; of those not avoided the one of least cost is chosen.
+/// An endpoint that a message may be sent to. Endpoints that are not avoided come first, then those of least
+/// cost.
 struct Candidate {
+    /// The message's class avoids the endpoint after a failure there.
     avoided: bool,
+    /// In calls in flight.
     cost: f64,
     endpoint: u32,
 }
 
 impl Dispatcher {
-    /// Fills the free slots: the waiting destination with the least recent send is first, and at a
-    /// destination the oldest message that may be sent.
+    /// Fills the free slots, round-robin over the destinations that messages wait for, from the one with the
+    /// least recent send. Each turn starts one call with the oldest message that may be sent.
     pub(super) fn dispatch(&mut self) {
         let mut destinations = VecDeque::from(self.state.waiting_by_last_send());
         while let Some(destination) = destinations.pop_front() {
@@ -35,7 +39,7 @@
         }
     }
 
-    /// Adds messages that wait for the same destination to the call just started, until it is full.
+    /// Batching: adds messages that wait for the same destination to the call just started, until it is full.
     fn fill_call(&mut self, destination: u32, endpoint: u32) {
         while self.state.has_joinable_call(endpoint, self.now) {
             let mut heads = self.state.destinations[destination].queue.heads().into_iter();
@@ -45,7 +49,8 @@
         }
     }
 
-    /// Sends the oldest message that may be sent to a destination; returns the endpoint that it was sent to.
+    /// Sends the oldest message of a destination that may be sent, and gives up those too late for a recovery
+    /// trial; returns the endpoint sent to.
     fn send_next(&mut self, destination: u32) -> Option<u32> {
         for id in self.state.cooled_down(destination, self.now) {
             self.enqueue(id);
@@ -67,8 +72,9 @@
         None
     }
 
-    /// Where all endpoints are ejected, returns a message that has less time left than an answer may take. As
-    /// a recovery trial it would be cancelled without a result, and the outage would seem to last.
+    /// Where all endpoints are ejected, returns a message whose deadline is within the overdue span. Sent as
+    /// a recovery trial, it could be cancelled at its deadline without a result, and the limit would stay
+    /// ejected.
     fn too_late_for_trial(&self, destination: u32) -> Option<u32> {
         let destination = self.state.destinations.get(destination)?;
         let ejected = |&id: &u32| self.state.limiter(id).is_some_and(Limiter::is_ejected);
@@ -81,7 +87,8 @@
         destination.queue.heads().into_iter().find(|id| all_ejected && too_late(id))
     }
 
-    /// Returns the best endpoint that the message may be sent to, except one; `Err` is when to check again.
+    /// Returns the endpoint of least cost that the message may be sent to, other than `except`, and one that
+    /// its class avoids only if there is no other. `Err` is the time at which to check again.
     pub(super) fn choose_endpoint(&self, message: u32, except: Option<u32>) -> Result<u32, Time> {
         let message = &self.state.messages[&message];
         let destination = self.state.destinations.get(message.destination).ok_or(NEVER)?;
@@ -100,8 +107,9 @@
         best.map(|candidate| candidate.endpoint).ok_or(retry_at)
     }
 
-    /// The cost of an endpoint in its selection: calls in flight, failure rate and prices, in calls. Jitter
-    /// is added where an equal share is less than a call in a burst, or all would choose the same one.
+    /// Cost of an endpoint in the selection, in calls in flight: `calls in flight + 4 * failure rate +
+    /// 10 * price + 0.5 * sparse^3 * jitter`, where `sparse` is 1 less the courier's equal share of calls per
+    /// burst. Without jitter, couriers with few calls in flight would all choose the same endpoint.
     fn cost(&self, id: u32) -> f64 {
         let settings = &self.settings;
         let endpoint = &self.state.endpoints[id];
@@ -116,7 +124,7 @@
         f64::from(endpoint.calls_in_flight) + failures + PRICE_CALLS * price + jitter
     }
 
-    /// Sends a message to an endpoint, in the call that it may join or else in a new one.
+    /// Sends a message to an endpoint, in the call of this cycle that it may join, or else in a new call.
     pub(super) fn send(&mut self, id: u32, endpoint: u32) {
         let chance = self.random.draw();
         let Some(message) = self.state.messages.get(&id) else { return };
@@ -129,6 +137,8 @@
         self.actions.push(Action::Send { message: id, endpoint, until: 0 });
     }
 
+    /// Starts a call and takes its token from the limiter of the endpoint and, for a shared limit, from that
+    /// of the destination.
     fn start_call(&mut self, destination: u32, endpoint: u32, chance: f64) {
         self.state.open_call(endpoint, destination, self.now);
         let scope = self.state.endpoint_scope(endpoint);
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,13 +1,14 @@
-//! The endpoint list: updates of its entries, and when to poll it.
+//! The endpoint list: updates of its entries, and polls with exponential backoff.
 
 use super::{admission::RETRY_BUDGET_TOKENS, Dispatcher, NEVER};
 use crate::interface::{Action, Endpoint, EndpointStatus, RateAccuracy, Time};
 use crate::state::{Destination, EndpointState, Limiter, ListPoll};
 use std::collections::BTreeSet;
 
-/// Failure rate above which a limit is ejected: three failures in a row, or most of the recent calls.
+/// Failure rate above which a limit is ejected. Three failures in a row reach 0.66 from 0.
 const EJECTION_THRESHOLD: f64 = 0.6;
-/// The same for one endpoint of several that share a limit, as others can serve: two failures in a row.
+/// Failure rate above which one of several endpoints that share a limit is ejected: two failures in a row
+/// reach 0.51 from 0. It is lower, as the other endpoints can serve.
 const ENDPOINT_EJECTION_THRESHOLD: f64 = 0.5;
 
 impl Dispatcher {
@@ -26,7 +27,7 @@
                 self.update_endpoint(entry);
             }
         }
-        // Rule 6: a Retry-After outlives the entry, which may be back before it is over.
+        // Rule 6: an endpoint is kept until its Retry-After ends, as it may be listed again before that.
         self.state.endpoints.retain(|endpoint| {
             let listed = endpoint.status != EndpointStatus::Removed;
             listed || endpoint.calls_in_flight > 0 || endpoint.limiter.retry_after_until > self.now
@@ -37,6 +38,7 @@
         }
     }
 
+    /// Adds or updates an endpoint by its entry, and sets the rate limit that the entry reports.
     fn update_endpoint(&mut self, entry: Endpoint) {
         self.add_destination(entry.destination);
         let kind = self.settings.kind(entry.kind);
@@ -57,19 +59,20 @@
         if self.settings.rate_accuracy != RateAccuracy::Unspecified && entry.rate > 0.0 {
             let limiter = destination.limiter_for(endpoint);
             limiter.report.rate_limit = entry.rate;
-            // An approximate rate is not enforced before a call was rejected above it.
+            // An approximate rate limit is enforced only after a call was rejected above it.
             limiter.report.is_exact = self.settings.rate_accuracy == RateAccuracy::Exact;
         }
     }
 
-    /// Adds a destination when the first message or list entry names it.
+    /// Adds a destination, unless it is known, when a message or list entry names it.
     pub(super) fn add_destination(&mut self, id: u32) {
         let limiter = Limiter::new(EJECTION_THRESHOLD, self.now);
         let destination = Destination::new(limiter, self.settings.kind(0), RETRY_BUDGET_TOKENS);
         self.state.destinations.get_or_insert_with(id, || destination);
     }
 
-    /// Delays the next poll of the list after a failure: exponential backoff with jitter.
+    /// Delays the next poll of the list after a failure: exponential backoff between 1/20 and 1/3 of the
+    /// longest poll interval, times a random factor between 0.5 and 1.5.
     pub(super) fn back_off_list_poll(&mut self) {
         let longest = self.settings.max_poll_interval;
         let backoff = (self.list_poll.backoff * 2).clamp(longest / 20, longest / 3);
@@ -81,7 +84,8 @@
     pub(super) fn poll_endpoint_list(&mut self) {
         if self.list_poll.next_at <= self.now {
             self.actions.push(Action::WatchEndpoints);
-            // If no answer comes at all, poll again well before the interval is over.
+            // If neither a list nor a failure is reported, the next poll comes after half of the longest
+            // interval.
             self.list_poll.backoff = self.list_poll.backoff.max(1);
             self.list_poll.next_at = self.now + self.settings.max_poll_interval / 2;
         }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,25 +1,28 @@
-//! Hedged requests, and the spans after which attempts may be hedged or are overdue.
+//! Hedged requests: when an attempt in flight may be hedged, and when it is overdue.
 
 use super::{admission::MIN_RETRY_TOKENS, Dispatcher, NEVER};
 use crate::interface::{Idempotency, Time};
 use crate::state::{AttemptGroup, GroupSpans, Limiter};
 
-/// A call is overdue after this many hedge delays: one in hundreds takes as long.
-const OVERDUE_HEDGE_DELAYS: u64 = 2;
+/// An attempt is overdue after this multiple of the 95th percentile of latency: one in hundreds takes as
+/// long.
+const OVERDUE_LATENCY_MULTIPLE: u64 = 2;
 
 impl Dispatcher {
-    /// How long after sending the attempts of a group are overdue. Latencies above the objective do not
-    /// extend this, as a message loses weight after its objective.
+    /// Time after sending at which attempts of a group are overdue: `2 * min(95th percentile, objective)`,
+    /// with the percentile of the destination or else of all calls. The objective bounds it because a message
+    /// loses weight after that.
     pub(super) fn overdue_span(&self, group: AttemptGroup) -> Time {
         let objective = self.settings.classes[group.class].latency_objective;
         let destination = self.state.destination_of(group);
         let own_latency = destination.and_then(|destination| destination.latencies.high_percentile);
         let latency = own_latency.or(self.latencies.high_percentile);
-        OVERDUE_HEDGE_DELAYS * latency.unwrap_or(objective).min(objective)
+        OVERDUE_LATENCY_MULTIPLE * latency.unwrap_or(objective).min(objective)
     }
 
-    /// How long after sending a lone attempt of a group may be hedged: the 95th percentile of recent
-    /// latencies, or the objective without enough samples; [`NEVER`] where there is no other endpoint.
+    /// Time after sending at which the only attempt in flight of a message may be hedged: the 95th percentile
+    /// of the destination's recent latencies, or the objective while there are too few samples; [`NEVER`]
+    /// where the destination has no other endpoint.
     fn hedge_delay(&self, group: AttemptGroup) -> Time {
         let objective = self.settings.classes[group.class].latency_objective;
         let destination = self.state.destination_of(group);
@@ -27,14 +30,15 @@
         destination.map_or(NEVER, |destination| destination.latencies.high_percentile.unwrap_or(objective))
     }
 
-    /// Updates when a message may be hedged, after it or an attempt of it changed.
+    /// Updates the time at which a message may be hedged, after it or an attempt of it changed.
     pub(super) fn update_hedge_index(&mut self, id: u32) {
         let Some(message) = self.state.messages.get(&id) else { return };
         let delay = self.hedge_delay(message.group());
         self.state.update_lone_attempt(id, delay);
     }
 
-    /// Updates when attempts to a destination come due, after its latencies or endpoints changed.
+    /// Updates the times at which attempts to a destination are overdue or may be hedged, after its latencies
+    /// or endpoints changed.
     pub(super) fn update_spans(&mut self, id: u32) {
         let gets_own_groups = self.state.start_own_groups(id);
         for class in 0..self.settings.classes.len() {
@@ -51,7 +55,8 @@
         }
     }
 
-    /// Whether the class of a group allows hedges, and the retry budget of its destination.
+    /// Whether hedges of a group are allowed: by the settings, by the idempotency of its class, and by the
+    /// retry budget of its destination.
     fn may_hedge(&self, group: AttemptGroup) -> bool {
         let destination = self.state.destination_of(group);
         let tokens = destination.map_or(0.0, |destination| destination.retry_tokens);
@@ -60,8 +65,9 @@
         allowed && tokens > MIN_RETRY_TOKENS
     }
 
-    /// Sends hedges to other endpoints for attempts whose hedge delay is over; none in the last slot while
-    /// messages wait for one, none to an ejected limit, under a Retry-After or above a rate.
+    /// Sends hedges to other endpoints for attempts whose hedge delay has passed. A hedge does not take the
+    /// last slot while messages wait for one; none is sent while the limit that the endpoints share is
+    /// ejected, during a Retry-After or without a token.
     pub(super) fn hedge(&mut self) {
         let due = self.state.hedge_index.all_due(self.now, |group| self.may_hedge(group));
         self.wake_up.want_by(due.next_due_at.unwrap_or(NEVER));
--- a/src/policy/local_faults.rs
+++ b/src/policy/local_faults.rs
@@ -1,18 +1,18 @@
-//! Faults of this machine: an attempt that it could not begin, and attempts that it cannot record.
+//! Faults of the courier's own machine: attempts that it could not begin, and attempts that it cannot record.
 
 use super::Dispatcher;
 use crate::interface::{AttemptOutcome, Time};
 use crate::state::Message;
 
-/// Pause at a destination after an attempt that this machine could not begin. It doubles with each further
-/// one in a row.
+/// First backoff of a destination, in nanoseconds, after an attempt that this machine could not begin. It
+/// doubles with each further one in a row.
 const MIN_LOCAL_BACKOFF: Time = 20_000_000;
-/// The longest pause: a lack of descriptors or buffers is over in a moment.
+/// Longest backoff, in nanoseconds; a shortage of file descriptors or buffers is usually short.
 const MAX_LOCAL_BACKOFF: Time = 320_000_000;
 
 impl Dispatcher {
-    /// Paces attempts at a destination while this machine cannot begin them. Any other outcome of an attempt
-    /// that was sent shows that it can.
+    /// Exponential backoff of a destination while this machine cannot begin attempts there. Any outcome of an
+    /// attempt that was sent, other than a cancellation, resets it.
     pub(super) fn record_local_fault(&mut self, destination: u32, outcome: AttemptOutcome) {
         let Some(destination) = self.state.destinations.get_mut(destination) else { return };
         match outcome {
@@ -26,8 +26,9 @@
         }
     }
 
-    /// Sets whether attempts can be recorded. Messages whose attempts need a record wait apart until then, so
-    /// that they do not hold up others; each is checked anew when it can be sent.
+    /// Sets whether attempts can be recorded, and requeues all waiting messages. While attempts cannot be
+    /// recorded, messages whose attempts need a record wait apart (`QueueState::AwaitsRecording`), so that
+    /// they do not block the others.
     pub(super) fn change_recording(&mut self, available: bool) {
         self.records_unavailable = !available;
         for id in self.state.waiting_messages() {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Whether a message has to wait until its attempt can be recorded.
+    /// Whether a message has to wait until its next attempt can be recorded.
     pub(super) fn awaits_recording(&self, message: &Message) -> bool {
         self.records_unavailable && self.settings.classes[message.class].attempt_needs_record()
     }
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -1,17 +1,19 @@
-//! Lifecycle of a message: accepted, waiting, answered.
+//! Lifecycle of a message: accepted, queued, completed, dropped.
 
 use super::{Dispatcher, NEVER};
 use crate::interface::{AcceptedMessage, Action, Idempotency, Time};
 use crate::state::{AttemptId, Message, QueueEntry, QueueState, RecoveredAttempts};
 
 impl Dispatcher {
-    /// Takes over an accepted message; `recovered` is given for one that an earlier process accepted.
+    /// Adds an accepted message to the queue of its destination; `recovered` is given for a message that an
+    /// earlier process of this courier accepted.
     pub(super) fn accept(&mut self, accepted: AcceptedMessage, recovered: Option<RecoveredAttempts>) {
         let Some(class) = self.settings.classes.get(usize::from(accepted.class)) else { return };
         if !self.state.insert_message(&accepted, class, recovered.as_ref(), self.now) {
             return;
         }
-        // Rule 5: a call in flight when its process died was reset then, or may have been just now.
+        // Rule 5: an attempt in flight when its process ended may still run: the endpoint may have noticed
+        // the lost connection only now, so the cooldown starts now.
         if class.ordered && recovered.is_some_and(|recovered| !recovered.unresolved.is_empty()) {
             let cooldown_until = self.now + self.settings.key_cooldown;
             self.state.key_queues.cool_down(accepted.ordering_key, cooldown_until);
@@ -20,7 +22,7 @@
         self.enqueue(accepted.id);
     }
 
-    /// Puts a message into the queue of its destination, in the state in which it is now.
+    /// Puts a message into the queue of its destination, or requeues it, by its present state.
     pub(super) fn enqueue(&mut self, id: u32) {
         self.state.leave_wait_queue(id);
         let Some(message) = self.state.messages.get(&id) else { return };
@@ -38,7 +40,9 @@
         self.state.join_wait_queue(id, entry);
     }
 
-    /// When the message may no longer be retried: now if that is so already, `None` when time sets no limit.
+    /// The time from which [`may_resend`](Self::may_resend) forbids any attempt: now if it does so already;
+    /// for a keyed message that may have been executed, the end of the deduplication window less the connect
+    /// timeout; otherwise `None`.
     fn retry_expiry(&self, message: &Message) -> Option<Time> {
         if !self.may_resend(message, None) {
             return Some(self.now);
@@ -49,7 +53,8 @@
         Some((first.sent_at + dedup_window).saturating_sub(self.settings.connect_timeout))
     }
 
-    /// Completes a message that has its final answer (rule 1), and cancels its attempts in flight.
+    /// Completes a message that has its final answer (rule 1), and cancels its attempts in flight where
+    /// cancellation is allowed.
     pub(super) fn finish(&mut self, id: u32) {
         let running = self.state.complete(id);
         if self.settings.cancellation_allowed {
@@ -61,20 +66,23 @@
         self.drop_finished(id);
     }
 
+    /// Cancels an attempt in flight; its slot stays taken until its result arrives.
     pub(super) fn cancel(&mut self, message: u32, attempt: u16) {
         if self.state.mark_cancelled(AttemptId { message, attempt }) {
             self.actions.push(Action::Cancel { message, attempt });
         }
     }
 
-    /// Drops a message that is completed and has nothing in flight, and frees its ordering key for the next.
+    /// Drops a message if it is completed and has no attempt in flight, and requeues the next message of its
+    /// ordering key.
     pub(super) fn drop_finished(&mut self, id: u32) {
         if let Some(next) = self.state.drop_finished(id) {
             self.enqueue(next);
         }
     }
 
-    /// Rule 2: rejected is only what was surely not executed, or whose second execution is harmless.
+    /// Rule 2: whether a message may be rejected: no attempt of it can have been executed, or a second
+    /// execution in any zone is harmless or suppressed by its key.
     fn may_reject(&self, message: &Message) -> bool {
         match self.settings.classes[message.class].idempotency {
             Idempotency::Idempotent | Idempotency::Keyed { per_zone: false, .. } => true,
@@ -82,7 +90,8 @@
         }
     }
 
-    /// Rule 2: whether another attempt is allowed at an endpoint in `zone`, or at some endpoint (`None`).
+    /// Whether another attempt is allowed by the maximum number of attempts and by rule 2, at an endpoint in
+    /// `zone`, or at any endpoint (`None`).
     pub(super) fn may_resend(&self, message: &Message, zone: Option<u8>) -> bool {
         if u32::from(message.attempts.saturating_sub(message.local_faults)) >= self.settings.max_attempts {
             return false;
@@ -91,7 +100,7 @@
         match self.settings.classes[message.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { dedup_window, per_zone } => {
-                // The attempt takes time to arrive: a connection may have to be made first.
+                // The attempt must arrive within the window, and a connection may have to be made first.
                 let in_window = self.now + self.settings.connect_timeout < first.sent_at + dedup_window;
                 let other_zone = zone.is_some_and(|zone| zone != first.zone);
                 in_window && !(per_zone && other_zone)
@@ -100,7 +109,8 @@
         }
     }
 
-    /// Answers a message that was not served: rejected where that is harmless, or else failed.
+    /// Gives the final answer to a message that was not served: rejected, with Retry-After advice, if it may
+    /// be submitted again without harm, or else failed.
     pub(super) fn give_up(&mut self, id: u32, retry_after: Time) {
         let Some(message) = self.state.messages.get(&id).filter(|message| !message.completed) else { return };
         self.actions.push(if self.may_reject(message) {
@@ -111,8 +121,8 @@
         self.finish(id);
     }
 
-    /// Rule 1: gives up messages without an answer two decision cycles before their deadline, or as soon as
-    /// they may no longer be retried.
+    /// Rule 1: gives up messages without a final answer two ticks before their deadline, and waiting messages
+    /// as soon as they may no longer be retried.
     pub(super) fn answer_expired(&mut self) {
         let margin = 2 * self.settings.tick;
         for id in self.state.expired(self.now + margin, self.now) {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,15 +1,16 @@
-//! Results of attempts: what becomes of the message, and what they show of endpoint and destination.
+//! Results of attempts: what is done with the message, and what is recorded for its endpoint and destination.
 
 use super::admission::{FAILURE_RETRY_TOKENS, RETRY_BUDGET_TOKENS};
 use super::{health::EWMA_WEIGHT, Dispatcher, NANOS_PER_SECOND};
 use crate::interface::{Action, AttemptOutcome, AttemptResult, Time};
 use crate::state::{seconds, LimitContext, LimitScope};
 
-/// Recent latencies from which the 95th percentile is taken; a twentieth of 40 is two.
+/// Number of recent latencies that the 95th percentile is computed from (of 40, two are at or above it), and
+/// over which the usual latency of a destination is averaged.
 const LATENCY_SAMPLES: usize = 40;
-/// Samples from which the percentile is used instead of the latency objective.
+/// Minimum number of samples for the percentile; with fewer, the latency objective is used in its place.
 const MIN_LATENCY_SAMPLES: usize = 5;
-/// Connections that any endpoint takes from all couriers together.
+/// Idle connections from all couriers together that any endpoint is assumed to accept.
 const MIN_CONNECTIONS: f64 = 8.0;
 
 impl Dispatcher {
@@ -17,7 +18,7 @@
     pub(super) fn finish_attempt(&mut self, result: AttemptResult) {
         let outcome = result.outcome;
         let finished = self.state.take_finished(&result);
-        // Also for an attempt that had ended before: a late answer may carry a Retry-After.
+        // Also recorded for an attempt that has already finished: a late answer may carry a Retry-After.
         self.record_endpoint_result(&result);
         let Some(finished) = finished else { return };
         if finished.first_outcome {
@@ -27,7 +28,7 @@
         self.record_attempt_destination(&result);
         self.update_hedge_index(result.message);
         let Some(message) = self.state.messages.get(&result.message) else { return };
-        // Rule 5: the attempt may still run.
+        // Rule 5: the endpoint may still be executing the attempt.
         if matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled) {
             let cooldown_until = self.now + self.settings.key_cooldown;
             self.state.key_queues.cool_down(message.ordering_key, cooldown_until);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Records what a result shows of this machine's way to the destination.
+    /// Records whether this machine could begin the attempt, for the backoff of its destination.
     fn record_attempt_destination(&mut self, result: &AttemptResult) {
         let destination = self.state.messages.get(&result.message).map(|message| message.destination);
         if let Some(destination) = destination {
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Records what a result shows of its endpoint itself, whether or not the attempt was still in flight.
+    /// Records the reported limit, any Retry-After, and whether the class avoids the endpoint from now on.
+    /// Applies whether or not the attempt was still in flight.
     fn record_endpoint_result(&mut self, result: &AttemptResult) {
         let now = self.now;
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return };
@@ -62,7 +64,8 @@
         if let AttemptOutcome::Rejected { retry_after: retry_after @ 1.. } = result.outcome {
             limiter.retry_after_until = limiter.retry_after_until.max(now + retry_after);
         }
-        // A class may fail where others are served: it avoids the endpoint until one of it is served.
+        // An endpoint may fail for one class only: that class avoids it until a message of the class is
+        // served there, or for the length of its deadline.
         let class = self.state.messages.get(&result.message).map_or(0, |message| message.class);
         let deadline = self.settings.classes.get(class).map_or(0, |class| class.deadline);
         match result.outcome {
@@ -73,9 +76,9 @@
         self.close_rarely_used(result.endpoint);
     }
 
-    /// Closes idle connections that are used less than once in the idle time that this courier may take. An
-    /// idle connection occupies the place of another courier's: it may stay idle for its equal share of the
-    /// idle timeout, or for as long as two calls take.
+    /// Closes the idle connections to an endpoint that this courier calls less than once per allowed idle
+    /// time, `max(idle timeout * MIN_CONNECTIONS / couriers, 2 * usual latency)`. An idle connection takes
+    /// the place of one of another courier, so each courier may use its fair share of the idle timeout.
     fn close_rarely_used(&mut self, id: u32) {
         let Some(endpoint) = self.state.endpoints.get(id) else { return };
         let Some(destination) = self.state.destinations.get(endpoint.destination) else { return };
@@ -87,14 +90,15 @@
         }
     }
 
-    /// Records the first outcome of a call for latencies, the retry budget and health.
+    /// Records the outcome of a call, from the first attempt that shows it, in the latencies, the retry
+    /// budget and the health of limits.
     fn record_call_outcome(&mut self, result: &AttemptResult, sent_at: Time) {
         let Some(endpoint) = self.state.endpoints.get(result.endpoint) else { return };
         let id = endpoint.destination;
         let Some(destination) = self.state.destinations.get_mut(id) else { return };
         if result.outcome == AttemptOutcome::Served {
             destination.retry_tokens = (destination.retry_tokens + 1.0).min(RETRY_BUDGET_TOKENS);
-            // A delay that a pause of this courier caused is no latency.
+            // After a pause of this courier, the elapsed time is not the latency of the destination.
             if self.delay <= 2 * self.settings.tick {
                 destination.latencies.record(result.elapsed, LATENCY_SAMPLES, high_percentile);
                 destination.average_latency(result.elapsed, EWMA_WEIGHT, LATENCY_SAMPLES);
@@ -109,7 +113,8 @@
         }
     }
 
-    /// Records the first outcome of a call with the limiters of its endpoint and its destination.
+    /// Records the outcome of a call with the limiter of its endpoint and, for a shared limit, that of its
+    /// destination, and reports a change of the circuit breaker.
     fn record_limit_outcome(&mut self, result: &AttemptResult, sent_at: Time) {
         let outcome = result.outcome;
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return };
@@ -133,7 +138,7 @@
     }
 }
 
-/// The 95th percentile, or `None` when there are too few samples.
+/// The 95th percentile of sorted latencies, or `None` when there are fewer than [`MIN_LATENCY_SAMPLES`].
 fn high_percentile(sorted: &[Time]) -> Option<Time> {
     sorted.get(sorted.len() * 95 / 100).filter(|_| sorted.len() >= MIN_LATENCY_SAMPLES).copied()
 }
