--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision library: settings and events go in, actions come out.
 //!
-//! Plain values; nothing here decides. The names that `serde` writes are those of the first version of
-//! recorded decision cycles and do not change.
+//! These types are plain data without decision logic. The names that `serde` writes are those of the first
+//! version of recorded decision cycles and do not change.
 
 mod actions;
 mod events;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -3,17 +3,17 @@
 use super::{AttemptOutcome, Time};
 use std::fmt;
 
-/// Something that the courier is to do. The actions of a cycle are carried out in their order.
+/// An instruction to the courier, which carries out the actions of a cycle in their order.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize))]
 pub enum Action {
-    /// Start the message's next attempt.
+    /// Start the next attempt of a message.
     Send {
         /// The message.
         message: u32,
         /// The endpoint that it is sent to.
         endpoint: u32,
-        /// Clock time at which the attempt is given up; 0 for no time but the deadline.
+        /// Clock time at which the attempt times out; 0 if only the deadline of the message ends it.
         until: Time,
     },
     /// Cancel an attempt in flight.
@@ -28,7 +28,7 @@
     Reject {
         /// The message.
         message: u32,
-        /// How long the client is to wait before it submits the message again; 0 for no such advice.
+        /// Retry-After: how long the client should wait before it submits the message again; 0 for none.
         #[cfg_attr(feature = "serde", serde(rename = "come_back"))]
         retry_after: Time,
     },
@@ -37,7 +37,8 @@
         /// The message.
         message: u32,
     },
-    /// Send a health check to an endpoint, where it counts as a call; it takes no capacity of the courier.
+    /// Send a health check to an endpoint, for which it counts as a call. It does not count against
+    /// [`Settings::max_in_flight_calls`](super::Settings::max_in_flight_calls).
     #[cfg_attr(feature = "serde", serde(rename = "Probe"))]
     HealthCheck {
         /// The endpoint.
@@ -81,7 +82,8 @@
     Recovering,
     /// Out of service: only recovery trials are sent.
     Ejected,
-    /// Calls are overdue and nothing was answered since. This may concern one endpoint of several only.
+    /// No call was answered since one was sent that is overdue now. This may concern only one of several
+    /// endpoints.
     Silent,
 }
 
@@ -90,7 +92,8 @@
 pub struct LimitEvidence {
     /// The outcome of the call that changed the state.
     pub outcome: AttemptOutcome,
-    /// Moving average of failures, 0 to 1.
+    /// Exponentially weighted moving average over calls: a failed call counts 1, a served one 0, and a
+    /// rejected one does not count.
     pub failure_rate: f64,
     /// Number of failures or rejections in a row.
     pub consecutive_failures: u32,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -8,7 +8,7 @@
 pub enum EndpointStatus {
     /// In service.
     Ready,
-    /// In graceful shutdown: finishes what it has and accepts nothing new.
+    /// In graceful shutdown: it finishes the calls in flight and accepts no new ones.
     Draining,
     /// No longer in the list.
     #[default]
@@ -28,8 +28,8 @@
     pub kind: u8,
     /// The zone that it is in.
     pub zone: u8,
-    /// Limit in calls a second from all couriers, as accurate as
-    /// [`Settings::rate_accuracy`](super::Settings::rate_accuracy) says; 0 for none.
+    /// Rate limit in calls a second for all couriers together, with the accuracy that
+    /// [`Settings::rate_accuracy`](super::Settings::rate_accuracy) states; 0 for none.
     pub rate: f64,
     /// Its status.
     #[cfg_attr(feature = "serde", serde(rename = "listing"))]
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AcceptedMessage {
-    /// Number of the message, never used twice.
+    /// Number of the message; numbers are never reused.
     pub id: u32,
     /// The destination that it is to be delivered to.
     pub destination: u32,
@@ -73,14 +73,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The endpoint executed the message and confirmed it.
     Served,
     /// The endpoint answered with an error; the message may have been executed.
     Error,
     /// The endpoint rejected the message without executing it.
     #[cfg_attr(feature = "serde", serde(rename = "Full"))]
     Rejected {
-        /// Retry-After: how long nothing may be sent to the limit; 0 when the answer has none.
+        /// Retry-After: how long no call may be made under the limit that rejected this one; 0 for none.
         #[cfg_attr(feature = "serde", serde(rename = "wait"))]
         retry_after: Time,
     },
@@ -98,8 +98,8 @@
         #[cfg_attr(feature = "serde", serde(rename = "no_slot"))]
         no_capacity: bool,
     },
-    /// The courier's own machine failed before anything was sent; the message was not executed, and nothing
-    /// is shown of the endpoint.
+    /// The courier's own machine failed before anything was sent, for example for lack of file descriptors.
+    /// The message was not executed, and the outcome says nothing about the endpoint.
     LocalFault,
 }
 
@@ -115,9 +115,9 @@
         )
     }
 
-    /// Whether the outcome is that of the attempt's call as well: a call with several messages is served,
-    /// rejected or lost as one, but the courier itself withholds or cancels single attempts, and its machine
-    /// fails them.
+    /// Whether the outcome applies to the whole call. A call with several messages is served, rejected or
+    /// lost as a whole; the courier withholds or cancels single attempts, and local faults concern single
+    /// attempts.
     pub fn applies_to_call(self) -> bool {
         !matches!(
             self,
@@ -211,12 +211,12 @@
         /// The message.
         message: u32,
     },
-    /// An attempt ended. It may be reported once more for an attempt that had ended before, as when a late
-    /// answer brings a Retry-After; then only what it shows of the limit and the endpoint counts.
+    /// An attempt ended. A second result of the same attempt, such as a late answer with a Retry-After, is
+    /// used only for the reported limit, the Retry-After and the choice of endpoints.
     #[cfg_attr(feature = "serde", serde(rename = "Ended"))]
     AttemptFinished(AttemptResult),
-    /// The courier can record attempts from now on, or cannot. While it cannot, nothing is sent that needs a
-    /// record ([`Class::attempt_needs_record`](super::Class::attempt_needs_record)).
+    /// The courier can record attempts from now on, or no longer can. While it cannot, no attempt is made
+    /// that needs a record ([`Class::attempt_needs_record`](super::Class::attempt_needs_record)).
     RecordingChanged {
         /// Whether attempts can be recorded.
         available: bool,
@@ -232,7 +232,8 @@
         /// The content.
         body: Vec<u8>,
     },
-    /// A requested wake-up is due, perhaps one that was replaced since. Only the clock time counts.
+    /// A requested wake-up is due, or one that was replaced since. It carries no data: the dispatcher uses
+    /// only the clock time of the cycle.
     #[cfg_attr(feature = "serde", serde(rename = "Woken"))]
     WokenUp,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a dispatcher is created with; they do not change while it runs.
+//! Settings of a dispatcher. They are fixed when it is created.
 
 use super::Time;
 
@@ -20,23 +20,24 @@
     pub classes: Vec<Class>,
     /// Kinds of destination; [`Endpoint::kind`](super::Endpoint::kind) is an index into them.
     pub kinds: Vec<DestinationKind>,
-    /// Quota of each tenant, by its number, in messages a second over all couriers.
+    /// Quota of each tenant, in messages a second over all couriers; the index is the tenant's number.
     #[cfg_attr(feature = "serde", serde(rename = "tenants"))]
     pub tenant_quotas: Vec<f64>,
-    /// Priority weight of a message above its tenant's quota, as a part of its usual weight, 0 to 1.
+    /// Weight of a message above its tenant's quota, as a ratio of its usual weight, 0 to 1.
     #[cfg_attr(feature = "serde", serde(rename = "over_share_worth"))]
     pub over_quota_weight: f64,
     /// How the weight of a message falls after its latency objective: halved with each further latency
     /// objective (true), or linearly until the deadline (false).
     #[cfg_attr(feature = "serde", serde(rename = "worth_halves"))]
     pub weight_halves: bool,
-    /// Most calls that this courier may have in flight at once.
+    /// Maximum number of calls that this courier may have in flight at once: its slots.
     #[cfg_attr(feature = "serde", serde(rename = "slots"))]
     pub max_in_flight_calls: u32,
-    /// Most messages that this courier may have in flight at once, sent or not; the courier rejects any more.
+    /// Maximum number of messages that this courier may have in flight at once, sent or not. It rejects any
+    /// message beyond that.
     #[cfg_attr(feature = "serde", serde(rename = "max_held"))]
     pub max_in_flight_messages: u32,
-    /// Most attempts that may be made for a message.
+    /// Maximum number of attempts for a message.
     pub max_attempts: u32,
     /// Attempts in flight may be cancelled.
     #[cfg_attr(feature = "serde", serde(rename = "may_cancel"))]
@@ -50,10 +51,10 @@
     /// Couriers may send each other gossip.
     #[cfg_attr(feature = "serde", serde(rename = "may_note"))]
     pub gossip_allowed: bool,
-    /// The longest Retry-After that clients respect; 0 where they respect none.
+    /// The longest Retry-After that clients respect; 0 if they respect none.
     #[cfg_attr(feature = "serde", serde(rename = "max_come_back"))]
     pub max_retry_after: Time,
-    /// Most calls that one connection carries at once.
+    /// Maximum number of concurrent calls on one connection.
     pub calls_per_connection: u32,
     /// How long a connection may be idle before it is closed.
     #[cfg_attr(feature = "serde", serde(rename = "connection_idle"))]
@@ -63,23 +64,25 @@
     /// How long after the deadline a final answer still counts as in time.
     #[cfg_attr(feature = "serde", serde(rename = "answer_slack"))]
     pub answer_grace: Time,
-    /// Part of its capacity that a destination has right after an outage, 0 to 1.
+    /// Capacity of a destination right after an outage, as a ratio of its full capacity, 0 to 1. It grows
+    /// linearly to 1 within [`slow_start_duration`](Self::slow_start_duration).
     #[cfg_attr(feature = "serde", serde(rename = "cold_share"))]
     pub slow_start_ratio: f64,
-    /// How long after an outage a destination has all of its capacity again.
+    /// Time after an outage until a destination has its full capacity again.
     #[cfg_attr(feature = "serde", serde(rename = "warm_after"))]
     pub slow_start_duration: Time,
-    /// Multiple of its present capacity above which calls make a destination fail again after an outage, if
-    /// that lasts for [`overload_window`](Self::overload_window).
+    /// A call rate above this multiple of its present capacity makes a destination fail again after an
+    /// outage, if it lasts for [`overload_window`](Self::overload_window).
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_ratio: f64,
     /// How long an overload must last to make a destination fail again.
     #[cfg_attr(feature = "serde", serde(rename = "fall_span"))]
     pub overload_window: Time,
-    /// How long no further message of an ordering key is sent after an attempt that may still run.
+    /// After an attempt that may still run, the time for which the next message of its ordering key is held
+    /// back.
     #[cfg_attr(feature = "serde", serde(rename = "key_rest"))]
     pub key_cooldown: Time,
-    /// The endpoint list must be polled, or a watch requested; otherwise it is delivered unasked.
+    /// The endpoint list must be polled, or its watch requested; otherwise it is pushed without a request.
     #[cfg_attr(feature = "serde", serde(rename = "list_asked"))]
     pub endpoint_list_polled: bool,
     /// Longest interval between polls of the endpoint list while there is no watch.
@@ -95,10 +98,10 @@
     /// Price of a call to another zone.
     #[cfg_attr(feature = "serde", serde(rename = "crossing_price"))]
     pub cross_zone_price: f64,
-    /// Price of work at endpoints that served nothing.
+    /// Price of calls to endpoints that did not serve the message.
     #[cfg_attr(feature = "serde", serde(rename = "waste_price"))]
     pub wasted_work_price: f64,
-    /// Price of a unit of weight that is lost after the latency objective.
+    /// Price of each unit of weight that a message loses after its latency objective.
     pub late_price: f64,
     /// Price of a health check for each message.
     #[cfg_attr(feature = "serde", serde(rename = "probe_price"))]
@@ -114,7 +117,8 @@
 }
 
 impl Settings {
-    /// Returns a kind of destination by number; an unknown one has a shared limit and single calls.
+    /// Returns a kind of destination by its number. An unknown kind has a shared limit and one message per
+    /// call.
     pub(crate) fn kind(&self, number: u8) -> DestinationKind {
         let unknown = DestinationKind { independent_routes: false, max_messages_per_call: 1 };
         self.kinds.get(usize::from(number)).copied().unwrap_or(unknown)
@@ -125,7 +129,7 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
-    /// A message that is served within this time has its full weight.
+    /// A message that is served within this time from its acceptance has its full weight.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Time,
     /// Time from acceptance within which a message must get its final answer.
@@ -133,10 +137,10 @@
     /// Weight of a message that is served within the latency objective.
     #[cfg_attr(feature = "serde", serde(rename = "worth"))]
     pub priority_weight: f64,
-    /// Part of the weight that is left at the deadline, 0 to 1.
+    /// Weight at the deadline, as a ratio of the full weight, 0 to 1.
     #[cfg_attr(feature = "serde", serde(rename = "late_worth"))]
     pub late_weight: f64,
-    /// Whether a message may be executed more than once.
+    /// The effect of executing a message more than once.
     #[cfg_attr(feature = "serde", serde(rename = "repeat"))]
     pub idempotency: Idempotency,
     /// Messages with the same ordering key are sent in turn, one at a time.
@@ -144,20 +148,22 @@
 }
 
 impl Class {
-    /// Whether an attempt of a message may begin only once it is recorded where it outlasts the process.
+    /// Whether an attempt of a message may begin only after it is recorded in storage that survives the
+    /// process.
     ///
-    /// The next process repeats an attempt that it does not know of. That is harmless for an idempotent
-    /// message. A message that is not idempotent would take effect twice, a keyed one possibly after its
+    /// After a restart, an attempt without a record is made again. That is harmless for an idempotent
+    /// message. But a message that is not idempotent would take effect twice, as would a keyed one after its
     /// window, and the next message of an ordering key would be sent while the attempt may still run.
     pub fn attempt_needs_record(&self) -> bool {
         self.ordered || self.idempotency != Idempotency::Idempotent
     }
 
-    /// Returns the weight of a message that is served at this age: its full weight within the latency
-    /// objective, and less after it.
+    /// Returns the weight of a message that is served at this age: the full weight up to the latency
+    /// objective, and a decreasing weight after it.
     ///
-    /// With `halves` it halves with each further latency objective, but not below the part left at the
-    /// deadline. Without, it falls linearly to that part at the deadline, and further after it.
+    /// With `halves`, the weight halves with each further latency objective, down to `late_weight` of the
+    /// full weight. Otherwise it decreases linearly, reaches `late_weight` of the full weight at the
+    /// deadline, and decreases further after it.
     pub fn weight_at(&self, age: Time, halves: bool) -> f64 {
         let late = (age as f64 - self.latency_objective as f64).max(0.0);
         let ratio = if halves {
@@ -196,11 +202,11 @@
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DestinationKind {
-    /// Its endpoints are independent routes, each with a limit and outages of its own; otherwise they share
+    /// Its endpoints are independent routes: each has its own limit and its own outages. Otherwise they share
     /// the limit of the destination.
     #[cfg_attr(feature = "serde", serde(rename = "routes_apart"))]
     pub independent_routes: bool,
-    /// Most messages that one call carries.
+    /// Maximum number of messages in one call.
     #[cfg_attr(feature = "serde", serde(rename = "per_call"))]
     pub max_messages_per_call: u32,
 }
@@ -209,13 +215,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum RateAccuracy {
-    /// The list has no rates, or they mean nothing.
+    /// The list has no rates, or its rates are to be ignored.
     #[default]
     #[cfg_attr(feature = "serde", serde(rename = "Untold"))]
     Unspecified,
-    /// The limit in calls a second from all couriers, accurate to within a half.
+    /// Limit in calls a second for all couriers together, accurate to within 50 %.
     #[cfg_attr(feature = "serde", serde(rename = "Rough"))]
     Approximate,
-    /// The limit in calls a second from all couriers.
+    /// Exact limit in calls a second for all couriers together.
     Exact,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,21 +3,21 @@
 //! One [`Dispatcher`] decides for one courier process: which message is sent next and to which endpoint, and
 //! what is retried, hedged, cancelled, rejected or given up. The courier calls [`Dispatcher::decide`] with
 //! the events since the last call and a clock time, and carries out the actions that it returns. The library
-//! does no input or output of its own, reads no clock and starts no threads. The same settings, seed and
-//! events always give the same actions.
+//! does no input or output of its own, reads no clock and starts no threads. It is deterministic: the same
+//! settings, seed, clock times and events always give the same actions.
 //!
 //! # The six rules
 //!
 //! The code refers to these rules by their numbers.
 //!
-//! 1. A message gets exactly one final answer (served, rejected or failed) before its deadline; nothing is
-//!    sent for it after.
-//! 2. No message takes effect twice. A rejected message may be submitted again without harm; failed promises
-//!    nothing.
-//! 3. Nothing new is sent to an endpoint that is draining or removed.
+//! 1. A message gets exactly one final answer (served, rejected or failed) before its deadline; no attempt
+//!    is made after it.
+//! 2. No message takes effect twice. A rejected message may be submitted again without harm; a failed one may
+//!    have taken effect.
+//! 3. No new attempt is sent to an endpoint that is draining or removed.
 //! 4. A destination that is back from an outage is not overloaded during its slow start.
-//! 5. Messages of an ordered class with one ordering key are sent in turn, with a cooldown after an attempt
-//!    that may still run.
+//! 5. Messages of an ordered class with the same ordering key are sent one at a time, in order of acceptance,
+//!    with a cooldown after an attempt that may still run.
 //! 6. A Retry-After is respected.
 //!
 //! # Example
--- a/tests/dispatcher/admission.rs
+++ b/tests/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Caps, the retry budget and load shedding.
+//! Slots per destination, the retry budget and load shedding.
 
 use crate::support::*;
 use linnetcart::*;
@@ -32,7 +32,8 @@
     ];
     let sent = sends_after(&mut dispatcher, SECOND, messages);
     assert_eq!(sent.len(), 3);
-    // Two failures close the budget. The first message waits for a retry, and the third call is in flight.
+    // After two failures the budget allows no retry. The first message waits for a retry, and the third call
+    // is in flight.
     let now = SECOND + 50 * MILLISECOND;
     let error = finished(1, 0, sent[0].endpoint, AttemptOutcome::Error);
     let rejected = AttemptOutcome::Rejected { retry_after: SECOND };
@@ -62,7 +63,8 @@
 
 #[test]
 fn messages_waiting_for_slots_beyond_objective_are_shed() {
-    // Incident i898dc2: all slots taken, the oldest first, and each message served after its objective.
+    // Incident i898dc2: with all slots taken and the oldest message sent first, every message missed its
+    // objective.
     for couriers in [2, 400] {
         let few_slots = Settings {
             courier_count: couriers,
@@ -71,7 +73,7 @@
             ..settings()
         };
         let WarmedUp { mut dispatcher, now } = warmed_up_with(few_slots.clone());
-        // Two slots serve 60 within an objective of 3 s at 0.1 s each.
+        // At a latency of 0.1 s, two slots serve 60 messages within the objective of 3 s.
         let messages = (0..55).map(|id| accepted(id, SHARED_LIMIT, IDEMPOTENT)).collect();
         let actions = dispatcher.decide(now, messages);
         assert!(rejections(&actions).is_empty(), "these can be served in time");
--- a/tests/dispatcher/dispatch.rs
+++ b/tests/dispatcher/dispatch.rs
@@ -50,7 +50,8 @@
 
 #[test]
 fn endpoint_choice_of_many_couriers_is_spread() {
-    // With one call in flight at most, all would choose the endpoint of the lowest number.
+    // Each courier has no other call in flight. Without jitter, all would choose the endpoint of lowest
+    // number.
     for destination in [SHARED_LIMIT, INDEPENDENT_ROUTES] {
         let mut sent_to = BTreeMap::<u32, usize>::new();
         for dispatcher in &mut fleet(100, 5.0) {
@@ -92,7 +93,7 @@
 
 #[test]
 fn idle_connection_that_is_rarely_used_is_closed() {
-    // Idle connections of hundreds of couriers would use up a cap on connections.
+    // Idle connections of hundreds of couriers would use up the connections that an endpoint accepts.
     let mut dispatcher = fleet(100, 5.0).remove(0);
     let messages = vec![accepted(1, INDEPENDENT_ROUTES, IDEMPOTENT)];
     let first = sends_after(&mut dispatcher, 60 * SECOND, messages);
@@ -118,14 +119,16 @@
 
 #[test]
 fn recovery_trial_among_expiring_messages_uses_one_with_time_left() {
-    // Ejected, and the oldest waiting messages expire one by one: each trial was cancelled without a result.
+    // The oldest messages waiting for an ejected destination expire one by one. Each was sent as a recovery
+    // trial and cancelled at its deadline without a result, so the destination stayed ejected.
     let WarmedUp { mut dispatcher, mut now } = warmed_up();
     let messages = (0..4).map(|id| accepted(id, SHARED_LIMIT, NOT_IDEMPOTENT)).collect();
     let sent = sends_after(&mut dispatcher, now, messages);
     let error = |sent: &Sent| finished(sent.message, 0, sent.endpoint, AttemptOutcome::Error);
     dispatcher.decide(now, sent.iter().map(error).collect());
     let ejected_at = now;
-    // All but the last have less time left than an answer takes whenever the second trial is due.
+    // They expire 20 ms apart, so that whenever the second trial is due, the oldest one has less time left
+    // than an answer takes.
     let expires_after = |id: u32| 3 * SECOND + Time::from(id - 100) * 20 * MILLISECOND;
     let mut waiting = Vec::new();
     for id in 100..180 {
--- a/tests/dispatcher/health.rs
+++ b/tests/dispatcher/health.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn rejections_between_successes_do_not_eject() {
-    // Incident id478a3: rejections at a limit shared with others were taken for a shut destination.
+    // Incident id478a3: rejections above a limit shared with other couriers were taken for an outage.
     let WarmedUp { mut dispatcher, mut now } = warmed_up();
     let mut changes = Vec::new();
     let mut attempts = AttemptCounter::default();
@@ -144,7 +144,8 @@
 
 #[test]
 fn short_silence_during_slow_start_does_not_end_it() {
-    // Scenario h504b7c: the answer of an overdue call was taken for proof that it had only been slow.
+    // Scenario h504b7c: an answer to an overdue call during slow start closed the circuit breaker, as if the
+    // destination had only been slow.
     let WarmedUp { dispatcher, now } = warmed_up();
     let mut recorded = Recorded { dispatcher, now, changes: Vec::new() };
     recorded.eject_and_serve_trial();
@@ -161,7 +162,7 @@
 
 #[test]
 fn overdue_call_when_slots_are_short_is_cancelled() {
-    // One class of messages hung at an endpoint that answered the others: hung calls filled all slots.
+    // One class of messages hung at an endpoint that answered the other classes: its calls took all slots.
     for couriers in [2, 400] {
         let WarmedUp { mut dispatcher, now } =
             warmed_up_with(Settings { courier_count: couriers, max_in_flight_calls: 2, ..settings() });
@@ -182,7 +183,7 @@
 
 #[test]
 fn overdue_span_with_grown_latencies_is_bounded_by_objective() {
-    // The high latencies of slow destinations let their calls occupy slots for many objectives.
+    // Without the bound, calls to slow destinations occupied their slots for many latency objectives.
     let mut dispatcher = Dispatcher::new(Settings { max_in_flight_calls: 1, ..settings() }, 1);
     let mut now = SECOND;
     dispatcher.decide(now, vec![endpoint_list()]);
--- a/tests/dispatcher/invariants.rs
+++ b/tests/dispatcher/invariants.rs
@@ -1,10 +1,10 @@
-//! The six rules on a random walk, and determinism.
+//! The six rules under random events, and determinism.
 
 use crate::support::*;
 use crate::world::World;
 use linnetcart::*;
 
-/// A walk of 30 s, and what it sent and did.
+/// The number of sends and the actions of each cycle of a random walk of 30 s.
 struct Walk {
     sends: usize,
     actions: Vec<Vec<Action>>,
--- a/tests/dispatcher/local_faults.rs
+++ b/tests/dispatcher/local_faults.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 use linnetcart::*;
 
-/// Has every send of a message fail on this machine for this time; returns how many there were.
+/// Ends each attempt with a local fault until `until`; returns the number of attempts.
 fn fail_locally_for(dispatcher: &mut Dispatcher, mut now: Time, until: Time, first: Vec<Sent>) -> u32 {
     let mut attempts = AttemptCounter::default();
     let mut sends_now = first;
--- a/tests/dispatcher/main.rs
+++ b/tests/dispatcher/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the dispatcher through its interface, one file a concern.
+//! Tests of the dispatcher through its interface, one file per concern.
 
 mod admission;
 mod dispatch;
--- a/tests/dispatcher/messages.rs
+++ b/tests/dispatcher/messages.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of messages: retries, ordering keys, and recovery of those of an earlier process.
+//! Lifecycle of messages: retries, ordering keys, and recovery of the messages of an earlier process.
 
 use crate::support::*;
 use linnetcart::*;
@@ -108,12 +108,12 @@
     events.push(endpoint_list());
     let mut attempts = AttemptCounter::default();
     let mut failing = sends_after(&mut dispatcher, 100 * SECOND, events);
-    // More come than are accepted without shedding: 60, of which a tenth stays free.
+    // 70 messages are in flight. Load is shed down to 54, nine tenths of the maximum of 60.
     let messages = (100..130).map(|id| accepted(id, SHARED_LIMIT, IDEMPOTENT)).collect();
     let rejected = rejections(&dispatcher.decide(100 * SECOND + 50 * MILLISECOND, messages));
     assert_eq!(rejected.len(), 16);
     assert!(rejected.iter().all(|&id| id >= 100), "{rejected:?}");
-    // Failed connections do not count as calls. They fail until only recovery trials are sent.
+    // Failed connections do not count as calls. All fail until the destination is ejected.
     let mut now = 100 * SECOND + 60 * MILLISECOND;
     while !failing.is_empty() {
         let failed = |sent: &Sent| {
--- a/tests/dispatcher/policy_size.rs
+++ b/tests/dispatcher/policy_size.rs
@@ -1,9 +1,9 @@
-//! The size of the files with decisions, and their place in the deploy file.
+//! The size of the files in `src/policy`, and their entries in the deploy file.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The most lines that a file of decisions may have, blank ones aside.
+/// Maximum number of non-blank lines of a policy file.
 const MAX_FILE_LINES: usize = 200;
 const MAX_LINE_CHARS: usize = 110;
 
@@ -22,12 +22,12 @@
     assert_eq!(deployed_policy(root), paths.into_iter().collect::<Vec<String>>());
 }
 
-/// The module of the decisions and every file of its folder.
+/// The policy module and every file of its folder.
 fn policy_files(root: &Path) -> BTreeSet<String> {
-    let folder = std::fs::read_dir(root.join("src/policy")).expect("the folder of the decisions");
+    let folder = std::fs::read_dir(root.join("src/policy")).expect("the policy folder");
     let mut paths = BTreeSet::from([String::from("src/policy.rs")]);
     for entry in folder {
-        let name = entry.expect("an entry of the folder").file_name();
+        let name = entry.expect("a readable folder entry").file_name();
         paths.insert(format!("src/policy/{}", name.to_str().expect("a name in UTF-8")));
     }
     paths
--- a/tests/dispatcher/rate.rs
+++ b/tests/dispatcher/rate.rs
@@ -1,4 +1,4 @@
-//! The rate at a limit, alone and among many couriers that act on the same events.
+//! The rate limit of one courier, and of many couriers that see the same events.
 
 use crate::support::*;
 use linnetcart::*;
@@ -40,7 +40,7 @@
 
 #[test]
 fn exact_limit_is_used_at_equal_share() {
-    // Incident ia9f3bb: couriers that each used all the capacity reported to them were rejected together.
+    // Incident ia9f3bb: each courier used all the capacity left that a report stated, and all were rejected.
     let mut dispatcher = Dispatcher::new(Settings { rate_accuracy: RateAccuracy::Exact, ..settings() }, 1);
     let entry = Endpoint { rate: 4.0, ..endpoint(10, SHARED_LIMIT, 0, EndpointStatus::Ready) };
     dispatcher.decide(SECOND, vec![Event::EndpointList { complete: true, entries: vec![entry] }]);
@@ -102,12 +102,13 @@
     for step in 1..100 {
         sent += traffic.step(now + step * 20 * MILLISECOND, AttemptOutcome::Served);
     }
-    // It served ten calls a second. In the slow start it has a fifth of that, and bears twice as many calls.
+    // It served 10 calls a second. Slow start begins at 0.2 of that and overload at 2 times the capacity: 0.2
+    // x 2 x 10 = 4 calls a second.
     assert!((1..=10).contains(&sent), "{sent} calls in the first two seconds");
 }
 
-/// Gives each courier a message and ends its first attempt with this outcome and capacity left. Returns how
-/// many couriers retried first in each of the seconds after that.
+/// Gives each courier a message and ends its first attempt with this outcome and capacity left. Returns, for
+/// each second after that, the number of couriers whose first retry came in it.
 fn retries_by_second(
     fleet: &mut [Dispatcher],
     capacity_left: Option<f64>,
@@ -142,21 +143,21 @@
 
 #[test]
 fn retry_after_to_many_couriers_spreads_their_retries() {
-    // Shut for 5 s: in its slow start a destination of 5 a second bears 0.2 x 2 x 5 x 2 s = 4 calls in two
-    // seconds.
-    let shut = AttemptOutcome::Rejected { retry_after: 5 * SECOND };
-    let many = retries_by_second(&mut fleet(100, 5.0), Some(1.0), shut, 9);
+    // Out for 5 s. At the start of its slow start, a destination of 5 calls a second can take 0.2 x 2 x 5 x 2
+    // s = 4 calls in two seconds.
+    let outage = AttemptOutcome::Rejected { retry_after: 5 * SECOND };
+    let many = retries_by_second(&mut fleet(100, 5.0), Some(1.0), outage, 9);
     assert_eq!(many[..5].iter().sum::<usize>(), 0, "the Retry-After is respected");
     assert!(many[5] + many[6] <= 8, "{many:?}");
-    let few = retries_by_second(&mut fleet(2, 5.0), Some(1.0), shut, 9);
+    let few = retries_by_second(&mut fleet(2, 5.0), Some(1.0), outage, 9);
     assert_eq!(few[..5].iter().sum::<usize>(), 0, "the Retry-After is respected");
     assert_eq!(few[5..].iter().sum::<usize>(), 2, "two couriers retry soon: {few:?}");
 }
 
 #[test]
 fn rejection_above_limit_spreads_retries_of_many_and_few_retry_soon() {
-    // Where rejected calls use up the limit, a hundred couriers that retry every two seconds leave no
-    // capacity.
+    // Rejected calls count against the limit: if 100 couriers retried every two seconds, no call would be
+    // served.
     let rejected = AttemptOutcome::Rejected { retry_after: 0 };
     let many = retries_by_second(&mut fleet(100, 5.0), Some(0.0), rejected, 10);
     assert!(many.iter().all(|&count| count <= 12), "{many:?}");
@@ -184,7 +185,7 @@
 
 #[test]
 fn outage_at_many_couriers_gets_full_trial_rate_from_its_start() {
-    // A destination of 50 a second stops answering a hundred couriers; each has one more message for it.
+    // A destination of 50 calls a second stops answering 100 couriers; each has one more message for it.
     let mut trials = vec![0; 12];
     for dispatcher in &mut fleet(100, 50.0) {
         dispatcher.decide(2 * SECOND, vec![accepted(1, SHARED_LIMIT, NOT_IDEMPOTENT)]);
@@ -205,8 +206,8 @@
             }
         }
     }
-    // In its slow start a destination of 50 a second bears 0.2 x 2 x 50 = 20; an interval of all is about six
-    // seconds.
+    // At the start of its slow start, the destination can take 0.2 x 2 x 50 = 20 calls a second. The interval
+    // between the trials of one courier is about six seconds.
     assert!(trials.windows(2).all(|two| two[0] + two[1] <= 40), "{trials:?}");
     assert!(trials[..6].iter().sum::<usize>() >= 85, "over two intervals half of them would: {trials:?}");
 }
--- a/tests/dispatcher/route_sharing.rs
+++ b/tests/dispatcher/route_sharing.rs
@@ -1,4 +1,4 @@
-//! Couriers that share the limits of two independent routes, where rejected calls use up the limit.
+//! Couriers that share the limits of two independent routes, where rejected calls count against the limit.
 
 use crate::support::*;
 use linnetcart::*;
@@ -16,14 +16,15 @@
 /// The limit is reported too high by this factor.
 const REPORTED_RATIO: f64 = 1.1;
 
-/// A route that takes `rate` calls a second in a window of two seconds; rejected calls count.
+/// A route with a limit of `rate` calls a second over a sliding window of two seconds; rejected calls count
+/// too.
 #[derive(Default)]
 struct Route {
     calls: VecDeque<Time>,
 }
 
 impl Route {
-    /// Counts a call; returns the part of the limit that was left before it.
+    /// Counts a call; returns the capacity that was left before it, as a ratio of the limit.
     fn count_call(&mut self, now: Time, rate: f64) -> f64 {
         let window = 2 * SECOND;
         while self.calls.front().is_some_and(|&at| at + window <= now) {
@@ -55,7 +56,7 @@
     result: AttemptResult,
 }
 
-/// Couriers that all have more messages than two routes of `rate` calls a second each serve.
+/// Couriers with more messages than two routes, each with a limit of `rate` calls a second, can serve.
 struct RouteSharing {
     rate: f64,
     couriers: Vec<Courier>,
@@ -106,7 +107,7 @@
         self.couriers[courier].events.extend(messages);
     }
 
-    /// Serves or rejects a call; the answer is on its way then.
+    /// Serves or rejects a call and schedules its result to arrive after [`ANSWER_LATENCY`].
     fn answer(&mut self, courier: usize, sent: Sent, now: Time) -> AttemptOutcome {
         let route = &mut self.routes[usize::from(sent.endpoint == 20)];
         let capacity_left = route.count_call(now, self.rate);
@@ -123,7 +124,7 @@
         outcome
     }
 
-    /// The part of the limits of both routes that was served.
+    /// Calls served, as a ratio of the limits of both routes.
     fn served_ratio(&self) -> f64 {
         f64::from(self.served) / (2.0 * self.rate * COUNTED_SECONDS)
     }
--- a/tests/dispatcher/support.rs
+++ b/tests/dispatcher/support.rs
@@ -205,7 +205,8 @@
     WarmedUp { dispatcher, now }
 }
 
-/// Dispatchers with different seeds that were given the same exact rates.
+/// Dispatchers with different seeds, given the same endpoints with exact rate limits of `rate` calls a
+/// second.
 pub fn fleet(couriers: u32, rate: f64) -> Vec<Dispatcher> {
     let settings = Settings { courier_count: couriers, rate_accuracy: RateAccuracy::Exact, ..settings() };
     let entry =
--- a/tests/dispatcher/world.rs
+++ b/tests/dispatcher/world.rs
@@ -1,4 +1,5 @@
-//! A random world that checks the six rules by a record of its own, independent of the dispatcher's.
+//! A random model of clients and endpoints that checks the six rules with its own state, independent of the
+//! dispatcher's.
 
 mod checks;
 
@@ -68,13 +69,13 @@
         }
     }
 
-    /// A random number from 0 to below `below`.
+    /// A random number in `0..below`.
     fn draw(&mut self, below: u64) -> u64 {
         self.random = self.random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (self.random >> 33) % below
     }
 
-    /// The limit that an endpoint comes under: its own for an independent route, or its destination's.
+    /// The limit that applies to an endpoint: its own for an independent route, otherwise its destination's.
     fn limit_of(endpoint: u32) -> u32 {
         if endpoint / 10 == INDEPENDENT_ROUTES {
             endpoint
--- a/tests/dispatcher/world/checks.rs
+++ b/tests/dispatcher/world/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the dispatcher's actions by the record of the world.
+//! Checks of the dispatcher's actions against the state of the model.
 
 use super::{AttemptId, PossibleExecution, World};
 use crate::support::*;
