--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -5,10 +5,11 @@
 use crate::state::{Destination, EndpointState, Limiter, ListPoll};
 use std::collections::BTreeSet;
 
-/// Failure rate above which a limit is ejected. Three failures in a row reach 0.66 from 0.
+/// Failure rate (EWMA) above which a limit is ejected: three failures in a row, which raise it from 0 to
+/// 0.66, or most of the recent calls.
 const EJECTION_THRESHOLD: f64 = 0.6;
-/// Failure rate above which one of several endpoints that share a limit is ejected: two failures in a row
-/// reach 0.51 from 0. It is lower, as the other endpoints can serve.
+/// Failure rate (EWMA) above which one of several endpoints that share a limit is ejected: two failures in a
+/// row, which raise it from 0 to 0.51. It is lower because the other endpoints can serve.
 const ENDPOINT_EJECTION_THRESHOLD: f64 = 0.5;
 
 impl Dispatcher {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -135,8 +135,8 @@
         };
     }
 
-    /// Takes a rejection for an outage, with slow start from the end of its Retry-After or else ejection, or
-    /// for a call above the limit, which cuts the rate.
+    /// Records a rejection as an outage or as a call above the limit. An outage starts the slow start at the
+    /// end of the Retry-After, or ejects the limit if there is none; a call above the limit cuts the rate.
     fn record_rejection(&mut self, sent_at: Time, retry_after: Time, context: LimitContext) {
         self.failures.last_not_executed = true;
         let outage = self.is_ejected() || self.is_outage(sent_at, retry_after, context);
@@ -152,7 +152,7 @@
     /// Whether a rejection means an outage of the destination rather than a call above its limit: its
     /// Retry-After is longer than an overload window, or it reports capacity left and its call was sent after
     /// the first failure in the row. Where it reports nothing, the failures in a row and the Retry-After must
-    /// together last one and a half windows.
+    /// together last one and a half windows; without a Retry-After, [`MIN_OUTAGE_REJECTIONS`] are needed too.
     fn is_outage(&self, sent_at: Time, retry_after: Time, context: LimitContext) -> bool {
         let window = context.settings.overload_window;
         let long_failing = self.failures.since + window * 3 / 2 <= context.now + retry_after;
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -25,7 +25,7 @@
             self.record_call_outcome(&result, finished.sent_at);
         }
         self.state.record_result(&result);
-        self.record_attempt_destination(&result);
+        self.record_local_outcome(&result);
         self.update_hedge_index(result.message);
         let Some(message) = self.state.messages.get(&result.message) else { return };
         // Rule 5: the endpoint may still be executing the attempt.
@@ -45,7 +45,7 @@
     }
 
     /// Records whether this machine could begin the attempt, for the backoff of its destination.
-    fn record_attempt_destination(&mut self, result: &AttemptResult) {
+    fn record_local_outcome(&mut self, result: &AttemptResult) {
         let destination = self.state.messages.get(&result.message).map(|message| message.destination);
         if let Some(destination) = destination {
             self.record_local_fault(destination, result.outcome);
@@ -60,7 +60,7 @@
         let Some(destination) = self.state.destinations.get_mut(endpoint.destination) else { return };
         let limiter = destination.limiter_for(endpoint);
         limiter.record_report(now, result);
-        // Rule 6.
+        // Rule 6: a Retry-After never shortens a pending one.
         if let AttemptOutcome::Rejected { retry_after: retry_after @ 1.. } = result.outcome {
             limiter.retry_after_until = limiter.retry_after_until.max(now + retry_after);
         }
--- a/src/policy/rate.rs
+++ b/src/policy/rate.rs
@@ -7,7 +7,8 @@
 /// Share of its overload budget that a courier spends where the budget is at least half a call per overload
 /// window. Variable network latency can bring more calls into one window than were sent in it.
 const BUDGET_RATIO: f64 = 0.9;
-/// That share at a budget near 0, from where it grows linearly: calls of several couriers may coincide.
+/// Share of its overload budget that a courier spends where that is near 0 calls per window, growing linearly
+/// to [`BUDGET_RATIO`]: calls of several couriers may coincide by chance.
 const SPARSE_BUDGET_RATIO: f64 = 0.5;
 /// How long before this courier's first failure others may have seen the outage, in overload windows.
 const SEEN_BEFORE_WINDOWS: f64 = 2.0;
@@ -34,8 +35,7 @@
 const MIN_RATE: f64 = 1e-9;
 
 impl Limiter {
-    /// Checks that no Retry-After is pending (rule 6) and that a token is available; `Err` is when to check
-    /// again.
+    /// Checks for a pending Retry-After (rule 6) and an available token; `Err` is when to check again.
     pub(super) fn check_limit(&self, context: LimitContext) -> Result<(), Time> {
         if self.retry_after_until > context.now {
             return Err(self.retry_after_until);
@@ -97,7 +97,7 @@
     }
 
     /// The refill rate of the bucket in calls a second, or `None` when it is not bounded. Rule 4 bounds it
-    /// while the limit fails or recovers.
+    /// while a limit fails or recovers. An ejected endpoint of a shared limit gets one call per window.
     fn rate(&self, context: LimitContext) -> Option<f64> {
         let Some(capacity_ratio) = self.recovery_ratio(context) else {
             return self.healthy_rate(context);
@@ -108,9 +108,8 @@
         }
     }
 
-    /// `(1 + capacity left) * fair share`, in calls a second: all couriers read the same reports, so each
-    /// takes an equal part of what is left. `None` without an exact limit, unless the last calls were
-    /// rejected above it.
+    /// `(1 + capacity left) * fair share`, in calls a second, as all couriers read the same capacity left.
+    /// `None` without an exact limit, unless the last calls were rejected above it.
     fn healthy_rate(&self, context: LimitContext) -> Option<f64> {
         let reported_until = self.report.received_at + NANOS_PER_SECOND as Time;
         let fresh = self.failures.consecutive == 0 && context.now < reported_until;
@@ -133,8 +132,8 @@
             }
             CircuitState::SlowStart { since } => {
                 let progress = context.now.saturating_sub(since) as f64 / duration.max(1) as f64;
-                let warming_up = context.now < since + duration;
-                warming_up.then_some(initial + (1.0 - initial) * progress)
+                let in_slow_start = context.now < since + duration;
+                in_slow_start.then_some(initial + (1.0 - initial) * progress)
             }
         }
     }
@@ -201,7 +200,7 @@
     }
 
     /// Estimated capacity of the limit for all couriers, in calls a second: the greatest of the reported
-    /// limit, `couriers * usual rate`, the rate of the peak window times couriers, and one call a window. The
+    /// limit, `couriers * usual rate`, this courier's peak window times couriers, and a call a window. The
     /// peak is multiplied by its number of calls at most: a courier that saw two calls in it is one of many.
     fn capacity(&self, context: LimitContext) -> f64 {
         let window = context.window_seconds();
