--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -97,7 +97,7 @@
             // A delay that a pause of this courier caused is no latency.
             if self.delay <= 2 * self.settings.tick {
                 destination.latencies.record(result.elapsed, LATENCY_SAMPLES, high_percentile);
-                destination.average_latency(result.elapsed, EWMA_WEIGHT, LATENCY_SAMPLES);
+                destination.update_average_latencies(result.elapsed, EWMA_WEIGHT, LATENCY_SAMPLES);
                 self.latencies.record(result.elapsed, LATENCY_SAMPLES, high_percentile);
             }
         } else {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
-//! What the decision library remembers between decision cycles, one file a structure.
+//! State that the decision library keeps between decision cycles, one data structure per file.
 //!
-//! It owns tables and indexes and keeps them consistent. It never decides and has no tuned values: both are
-//! in [`crate::policy`].
+//! This module owns the tables and indexes and keeps them consistent with each other. Decisions and tuned
+//! constants are in [`crate::policy`].
 
 mod attempt;
 mod deadline_index;
@@ -35,7 +35,7 @@
 
 use crate::interface::Time;
 
-/// Converts a span of time to seconds.
+/// Converts a duration from nanoseconds to seconds.
 pub(crate) fn seconds(span: Time) -> f64 {
     span as f64 / 1e9
 }
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -1,11 +1,11 @@
-//! Attempts in flight and the calls that carry them.
+//! Table of the attempts in flight and of the calls that carry them.
 //!
-//! Owns the table of both and keeps it consistent; the deadline indexes over attempts are not part of it.
+//! The deadline indexes over the attempts are kept elsewhere: see [`super::DeadlineIndex`].
 
 use crate::interface::{AttemptOutcome, Time};
 use std::collections::BTreeMap;
 
-/// One attempt of one message.
+/// Identifies an attempt: a message and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) message: u32,
@@ -18,19 +18,23 @@
 pub(crate) struct InFlightAttempt {
     pub(crate) id: AttemptId,
     pub(crate) endpoint: u32,
+    /// Clock time of sending, in nanoseconds.
     pub(crate) sent_at: Time,
+    /// Sequence number of the call that carries the attempt.
     pub(crate) call: u64,
+    /// Whether the dispatcher has requested its cancellation.
     pub(crate) cancelled: bool,
 }
 
-/// An attempt whose result has arrived.
+/// An attempt whose result has arrived, as removed from the table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FinishedAttempt {
     pub(crate) sent_at: Time,
     pub(crate) cancelled: bool,
-    /// It was the last attempt in flight of its call.
+    /// Whether no other attempt of its call is in flight any longer.
     pub(crate) call_ended: bool,
-    /// Its result is the first one that shows how its call ended.
+    /// Whether its outcome is the first of its call that applies to the whole call
+    /// ([`AttemptOutcome::applies_to_call`]). Only that one counts for health and latencies.
     pub(crate) first_outcome: bool,
 }
 
@@ -38,10 +42,11 @@
 #[derive(Debug, Default)]
 struct Call {
     attempts_in_flight: u32,
+    /// Whether an outcome that applies to the whole call has arrived.
     outcome_known: bool,
 }
 
-/// All attempts in flight, and the calls that carry them.
+/// All attempts in flight of one dispatcher, and the calls that carry them.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptTable {
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
@@ -59,7 +64,7 @@
         self.calls.len()
     }
 
-    /// Returns the attempts of a message that are in flight and not cancelled, in the order of their numbers.
+    /// Returns the attempts of a message that are in flight and not cancelled, in ascending order of number.
     pub(super) fn running(&self, message: u32) -> impl Iterator<Item = &InFlightAttempt> {
         let first = AttemptId { message, attempt: 0 };
         let last = AttemptId { message, attempt: u16::MAX };
@@ -67,21 +72,21 @@
         attempts.filter(|attempt| !attempt.cancelled)
     }
 
-    /// Adds an attempt, and its call unless another attempt has added it already.
+    /// Adds an attempt, and its call if this is the first attempt that the call carries.
     pub(super) fn insert(&mut self, attempt: InFlightAttempt) {
         self.calls.entry(attempt.call).or_default().attempts_in_flight += 1;
         self.in_flight.insert(attempt.id, attempt);
     }
 
-    /// Marks an attempt as cancelled; returns when it was sent, or `None` when it is not in flight.
+    /// Marks an attempt as cancelled; returns the time of sending, or `None` when it is not in flight.
     pub(super) fn mark_cancelled(&mut self, id: AttemptId) -> Option<Time> {
         let attempt = self.in_flight.get_mut(&id)?;
         attempt.cancelled = true;
         Some(attempt.sent_at)
     }
 
-    /// Removes an attempt that finished, and its call if no other attempt of it is in flight; `None` when the
-    /// attempt is not in flight.
+    /// Removes a finished attempt, and its call with the last attempt that the call carries. Returns `None`
+    /// when the attempt is not in flight.
     pub(super) fn finish(&mut self, id: AttemptId, outcome: AttemptOutcome) -> Option<FinishedAttempt> {
         let attempt = self.in_flight.remove(&id)?;
         let call = self.calls.entry(attempt.call).or_default();
--- a/src/state/deadline_index.rs
+++ b/src/state/deadline_index.rs
@@ -1,18 +1,23 @@
-//! The deadline index: attempts in flight in the order in which they come due, to be hedged or as overdue.
+//! Deadline index: attempts in flight in the order in which they come due, for hedging or as overdue.
+//!
+//! An attempt comes due a span of time after it was sent. All attempts of a group have the same span, so the
+//! order of sending is the order of deadlines within a group. Changing the span of a group moves only one
+//! entry, that of the group's first deadline.
 
 use super::AttemptId;
 use crate::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt in flight; the first sent is the least.
+/// Index entry: an attempt in flight, in order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SentAttempt {
+    /// Clock time of sending, in nanoseconds.
     pub(crate) sent_at: Time,
     pub(crate) message: u32,
     pub(crate) attempt: u16,
 }
 
-/// An attempt that has come due.
+/// An attempt that has come due, with the clock times of sending and of its deadline in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueAttempt {
     pub(crate) message: u32,
@@ -28,15 +33,17 @@
     }
 }
 
-/// Attempts that have come due, and when the next one will, of any group.
+/// Result of [`DeadlineIndex::all_due`].
 #[derive(Clone, Debug)]
 pub(crate) struct DueAttempts {
+    /// The attempts that are due, in order of message and attempt.
     pub(crate) attempts: Vec<DueAttempt>,
+    /// Clock time at which the next attempt of any group comes due; `None` when there is none.
     pub(crate) next_due_at: Option<Time>,
 }
 
-/// Attempts that come due the same span of time after they were sent: those of one class to one destination,
-/// or to all destinations that have no groups of their own yet (`None`).
+/// Key of a group of attempts with the same span from sending to deadline: the attempts of one class to one
+/// destination, or to all destinations without groups of their own (`None`, the shared group of the class).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptGroup {
     pub(crate) destination: Option<u32>,
@@ -44,13 +51,13 @@
 }
 
 impl AttemptGroup {
-    /// Returns the group of the same class for all destinations that have no groups of their own.
+    /// Returns the shared group of the same class.
     pub(crate) fn shared(self) -> Self {
         AttemptGroup { destination: None, class: self.class }
     }
 }
 
-/// The attempts of a group and the span of time after sending at which each comes due.
+/// The attempts of a group and the span in nanoseconds from sending until each comes due.
 #[derive(Debug, Default)]
 struct GroupEntry {
     span: Time,
@@ -66,7 +73,7 @@
         self.attempts.first().map(|first| self.due_at(first))
     }
 
-    /// Returns when the first attempt comes due that is not due at `now`.
+    /// Returns the first deadline in the group after `now`.
     fn next_due_at(&self, now: Time) -> Option<Time> {
         let sent_at = now.saturating_sub(self.span) + 1;
         let not_due = SentAttempt { sent_at, message: 0, attempt: 0 };
@@ -74,15 +81,15 @@
     }
 }
 
-/// A group and when the first of its attempts comes due.
+/// Index entry: a group with its first deadline, in order of deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupDeadline {
     at: Time,
     group: AttemptGroup,
 }
 
-/// Attempts in flight by when they come due: the groups by their first attempt, and within a group in the
-/// order in which the attempts were sent.
+/// Two-level index of attempts by deadline: the groups in order of their first deadline, and the attempts of
+/// a group in order of sending.
 #[derive(Debug, Default)]
 pub(crate) struct DeadlineIndex {
     groups: BTreeMap<AttemptGroup, GroupEntry>,
@@ -90,7 +97,7 @@
 }
 
 impl DeadlineIndex {
-    /// Changes a group and updates its position among the others.
+    /// Changes a group, and its entry in the order of groups if its first deadline changed.
     fn change(&mut self, group: AttemptGroup, change: impl FnOnce(&mut GroupEntry)) {
         let entry = self.groups.entry(group).or_default();
         let before = entry.first_due_at();
@@ -110,7 +117,7 @@
         }
     }
 
-    /// Adds an attempt; all attempts of its group come due after `span` from now on.
+    /// Adds an attempt to a group and sets the span of the whole group to `span` nanoseconds.
     pub(crate) fn insert(&mut self, group: AttemptGroup, span: Time, attempt: SentAttempt) {
         self.change(group, |entry| {
             entry.attempts.insert(attempt);
@@ -118,21 +125,22 @@
         });
     }
 
-    /// Removes an attempt.
+    /// Removes an attempt from a group.
     pub(crate) fn remove(&mut self, group: AttemptGroup, attempt: SentAttempt) {
         self.change(group, |entry| {
             entry.attempts.remove(&attempt);
         });
     }
 
-    /// Sets the span after which the attempts of a group come due.
+    /// Sets the span of a group, in nanoseconds; a group without attempts is ignored.
     pub(crate) fn set_span(&mut self, group: AttemptGroup, span: Time) {
         if self.groups.get(&group).is_some_and(|entry| entry.span != span) {
             self.change(group, |entry| entry.span = span);
         }
     }
 
-    /// Moves the attempts of the messages for which `belongs` is true from one group to another.
+    /// Moves the attempts of the messages for which `belongs` is true from one group to another, and sets the
+    /// span of that group.
     pub(crate) fn move_attempts(
         &mut self,
         from: AttemptGroup,
@@ -149,8 +157,8 @@
         }
     }
 
-    /// Returns the attempts due at `now` of the groups for which `included` is true, by message and attempt,
-    /// and when the next attempt of any group comes due after that.
+    /// Returns the attempts due at clock time `now` of the groups for which `included` is true, and the first
+    /// deadline after `now` over all groups.
     pub(crate) fn all_due(&self, now: Time, included: impl Fn(AttemptGroup) -> bool) -> DueAttempts {
         let groups: Vec<AttemptGroup> = self.due_groups(now).collect();
         let mut attempts = Vec::new();
@@ -163,13 +171,13 @@
         DueAttempts { attempts, next_due_at: within_groups.chain(next_group).min() }
     }
 
-    /// Returns the groups that have an attempt due at `now`.
+    /// Returns the groups that have an attempt due at clock time `now`.
     fn due_groups(&self, now: Time) -> impl Iterator<Item = AttemptGroup> + '_ {
         let due = self.deadlines.iter().take_while(move |deadline| deadline.at <= now);
         due.map(|deadline| deadline.group)
     }
 
-    /// Returns the attempts of a group that are due at `now`.
+    /// Returns the attempts of a group that are due at clock time `now`, in order of sending.
     fn due_in_group(&self, group: AttemptGroup, now: Time) -> impl Iterator<Item = DueAttempt> + '_ {
         let entry = &self.groups[&group];
         let due = entry.attempts.iter().map(|sent| DueAttempt {
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -1,15 +1,15 @@
-//! What is known of a destination, and the messages that wait for it.
+//! State of one destination: limits, retry budget, latencies, and the queue of messages that wait for it.
 
 use super::{DestinationQueue, EndpointState, LatencySamples, Limiter, Table};
 use crate::interface::{DestinationKind, Time};
 use std::collections::BTreeSet;
 
-/// What a limiter limits.
+/// Which limit the calls of a limiter count against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitScope {
-    /// A limit of its own: that of a destination, or of an independent route.
+    /// Its own limit: the limiter is that of a destination or of an independent route.
     OwnLimit,
-    /// One endpoint of several that share the limit of their destination.
+    /// The limit of the destination: the limiter is that of one endpoint among several that share it.
     SharedEndpoint,
 }
 
@@ -20,26 +20,31 @@
     pub(crate) kind: DestinationKind,
     pub(crate) endpoints: BTreeSet<u32>,
     pub(crate) queue: DestinationQueue,
-    /// When a message was last sent to it.
+    /// Clock time of the last send to it, in nanoseconds; waiting destinations are served in this order.
     pub(crate) last_sent_at: Time,
+    /// Number of calls in flight to all of its endpoints.
     pub(crate) calls_in_flight: u32,
-    /// The present pause between attempts that this machine could not begin; 0 without one.
+    /// Exponential backoff after local faults (attempts that this machine could not begin), in nanoseconds;
+    /// 0 after an attempt that could begin.
     pub(crate) local_backoff: Time,
-    /// No attempt is made before this time.
+    /// Clock time before which no attempt is made because of `local_backoff`, in nanoseconds.
     pub(crate) local_backoff_until: Time,
-    /// Tokens of the retry budget.
+    /// Tokens in the retry budget: served calls add to them, failed ones cost more. Retries and hedges need
+    /// a minimum of tokens.
     pub(crate) retry_tokens: f64,
+    /// Latencies of its last served calls.
     pub(crate) latencies: LatencySamples,
-    /// Its attempts in flight are in groups of their own in the index of overdue attempts.
+    /// Whether its attempts have their own groups in the index of overdue attempts, which takes enough
+    /// latency samples; before, they are in the shared group of their class.
     pub(crate) has_own_groups: bool,
-    /// Moving average of the latency over many calls, in nanoseconds; 0 before the first.
+    /// EWMA of the latency of served calls with a small weight, in nanoseconds; 0 before the first.
     pub(crate) usual_latency: f64,
-    /// Moving average of the latency over the last few calls, in nanoseconds.
+    /// EWMA of the same latencies with a large weight, in nanoseconds: follows the last few calls.
     pub(crate) recent_latency: f64,
 }
 
 impl Destination {
-    /// Creates a destination without endpoints, messages or known latencies.
+    /// Creates a destination without endpoints, messages or latency samples.
     pub(crate) fn new(limiter: Limiter, kind: DestinationKind, retry_tokens: f64) -> Self {
         Destination {
             limiter,
@@ -58,9 +63,15 @@
         }
     }
 
-    /// Adds a latency to both moving averages: with weight `recent_weight` to the recent one, and to the
-    /// usual one as one of `usual_samples`.
-    pub(crate) fn average_latency(&mut self, latency: Time, recent_weight: f64, usual_samples: usize) {
+    /// Updates both EWMAs with the latency of a call, in nanoseconds:
+    /// `average += weight * (latency - average)`, with weight `recent_weight` for the recent latency and
+    /// `1 / usual_samples` for the usual one. The first latency initializes both.
+    pub(crate) fn update_average_latencies(
+        &mut self,
+        latency: Time,
+        recent_weight: f64,
+        usual_samples: usize,
+    ) {
         let latency = latency as f64;
         if self.usual_latency == 0.0 {
             self.usual_latency = latency;
@@ -70,7 +81,7 @@
         self.usual_latency += (latency - self.usual_latency) / usual_samples as f64;
     }
 
-    /// Returns the scope of the limiters of its endpoints.
+    /// Returns the scope of the limiter of each of its endpoints.
     pub(crate) fn endpoint_scope(&self) -> LimitScope {
         if self.kind.independent_routes {
             LimitScope::OwnLimit
@@ -79,7 +90,7 @@
         }
     }
 
-    /// Returns the limiter of the limit that sends to one of its endpoints count against.
+    /// Returns the limiter of the limit that calls to one of its endpoints count against.
     pub(crate) fn limiter_for<'a>(&'a mut self, endpoint: &'a mut EndpointState) -> &'a mut Limiter {
         match self.endpoint_scope() {
             LimitScope::OwnLimit => &mut endpoint.limiter,
@@ -87,8 +98,8 @@
         }
     }
 
-    /// Records the number of waiting messages with its limiter and with that of each endpoint: any of them
-    /// may serve all that wait.
+    /// Copies the number of waiting messages to its limiter and to the limiter of each endpoint, as each
+    /// endpoint could serve all of them.
     pub(crate) fn count_waiting(&mut self, endpoints: &mut Table<EndpointState>) {
         self.limiter.waiting_messages = self.queue.len() as f64;
         for &id in &self.endpoints {
--- a/src/state/dispatch_state.rs
+++ b/src/state/dispatch_state.rs
@@ -1,4 +1,4 @@
-//! The tables of a dispatcher and the upkeep of the indexes over them, one file a concern.
+//! The tables of a dispatcher and the operations that keep the indexes over them up to date.
 
 mod attempts;
 mod deadlines;
@@ -14,22 +14,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Destinations, endpoints, messages, attempts and calls of one dispatcher, and the indexes by which a
-/// decision cycle finds what is due.
+/// decision cycle finds messages and attempts that are due.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchState {
-    /// The last number that was given to a message or a call.
+    /// Last sequence number given out; messages and calls share the counter.
     sequence: u64,
     pub(crate) destinations: Table<Destination>,
     pub(crate) endpoints: Table<EndpointState>,
+    /// Messages by number, from acceptance until they are completed and nothing of them is in flight.
     pub(crate) messages: BTreeMap<u32, Message>,
     pub(crate) attempts: AttemptTable,
     pub(crate) key_queues: KeyQueues,
-    /// Messages without a final answer, by their deadline.
+    /// Messages without a final answer, ordered by deadline.
     pub(crate) deadlines: BTreeSet<MessageTime>,
     pub(crate) wait_queue: WaitQueue,
-    /// Attempts in flight and not cancelled, by when they are overdue.
+    /// Attempts that are in flight and not cancelled, by the time at which they become overdue.
     pub(crate) overdue_index: DeadlineIndex,
-    /// Lone attempts in flight, by when they may be hedged.
+    /// Lone attempts ([`Message::lone_attempt`]), by the time from which they may be hedged.
     pub(crate) hedge_index: DeadlineIndex,
 }
 
@@ -39,7 +40,7 @@
         self.sequence
     }
 
-    /// Returns the destination of a group, or `None` for a group shared by several.
+    /// Returns the destination of a group, or `None` for the shared group of a class.
     pub(crate) fn destination_of(&self, group: AttemptGroup) -> Option<&Destination> {
         self.destinations.get(group.destination?)
     }
@@ -49,14 +50,15 @@
         self.destinations.get(destination).is_some_and(|destination| destination.kind.independent_routes)
     }
 
-    /// Returns the scope of an endpoint's own limiter.
+    /// Returns the scope of an endpoint's own limiter; `SharedEndpoint` for an unknown endpoint.
     pub(crate) fn endpoint_scope(&self, endpoint: u32) -> LimitScope {
         let endpoint = self.endpoints.get(endpoint);
         let destination = endpoint.and_then(|endpoint| self.destinations.get(endpoint.destination));
         destination.map_or(LimitScope::SharedEndpoint, Destination::endpoint_scope)
     }
 
-    /// Returns the limiter of the limit that a send to this endpoint counts against.
+    /// Returns the limiter of the limit that a call to this endpoint counts against: its own if it is an
+    /// independent route, or else that of its destination.
     pub(crate) fn limiter(&self, endpoint: u32) -> Option<&Limiter> {
         let endpoint = self.endpoints.get(endpoint)?;
         let destination = self.destinations.get(endpoint.destination)?;
@@ -67,7 +69,7 @@
     }
 
     /// Removes endpoints that are no longer in the table from their destinations; returns the destinations
-    /// that lost one.
+    /// that changed.
     pub(crate) fn drop_removed_endpoints(&mut self) -> Vec<u32> {
         let endpoints = &self.endpoints;
         let mut changed = Vec::new();
--- a/src/state/dispatch_state/attempts.rs
+++ b/src/state/dispatch_state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and calls: sent, cancelled, finished.
+//! Operations on attempts and calls: send, cancel, finish, and the check for silent endpoints.
 
 use super::DispatchState;
 use crate::interface::{AttemptResult, Time};
@@ -6,28 +6,30 @@
     AttemptId, DueAttempt, FinishedAttempt, InFlightAttempt, OpenCall, PossibleExecution, SentAttempt,
 };
 
-/// What an overdue attempt shows of its endpoint and its destination.
+/// Whether the endpoint and the destination of an overdue attempt are silent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Silence {
     pub(crate) endpoint: u32,
     pub(crate) destination: u32,
     pub(crate) class: usize,
-    /// The endpoint has answered nothing since the attempt was sent.
+    /// The endpoint has not answered any call since the attempt was sent.
     pub(crate) endpoint_silent: bool,
-    /// No endpoint of the destination has answered anything since the attempt was sent.
+    /// No endpoint of the destination has answered any call since the attempt was sent. The limiter of
+    /// the destination records no outcomes of independent routes, so this is true for them.
     pub(crate) destination_silent: bool,
 }
 
 impl DispatchState {
-    /// Whether the next send to an endpoint joins a call that was started in this decision cycle.
+    /// Whether the next message to an endpoint joins a call that was started in this decision cycle: the call
+    /// holds fewer messages than the kind of the destination allows.
     pub(crate) fn has_joinable_call(&self, endpoint: u32, now: Time) -> bool {
         let Some(endpoint) = self.endpoints.get(endpoint) else { return false };
         let Some(destination) = self.destinations.get(endpoint.destination) else { return false };
-        let sends = endpoint.sends_in_call_of(now);
+        let sends = endpoint.sends_in_call_started_at(now);
         sends > 0 && sends < destination.kind.max_messages_per_call
     }
 
-    /// Counts a new call to an endpoint.
+    /// Starts a new call to an endpoint, as yet without messages, and counts it as in flight.
     pub(crate) fn open_call(&mut self, endpoint: u32, destination: u32, now: Time) {
         let call = self.next_sequence();
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// Records a message's next attempt, in the open call of an endpoint; it is overdue after `overdue_span`.
+    /// Records that the next attempt of a message is sent in the open call of an endpoint. The attempt is
+    /// overdue `overdue_span` nanoseconds from now.
     pub(crate) fn record_send(&mut self, id: u32, endpoint: u32, now: Time, overdue_span: Time) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(endpoint_state) = self.endpoints.get_mut(endpoint) else { return };
@@ -68,7 +71,8 @@
         true
     }
 
-    /// Removes an attempt that finished; returns `None` when it is not in flight, as after an earlier result.
+    /// Removes a finished attempt, and its call if this was the last attempt in it. Returns `None` when the
+    /// attempt is not in flight, as after an earlier result.
     pub(crate) fn take_finished(&mut self, result: &AttemptResult) -> Option<FinishedAttempt> {
         let id = AttemptId { message: result.message, attempt: result.attempt };
         let finished = self.attempts.finish(id, result.outcome)?;
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Records with its message that an attempt finished.
+    /// Updates the message of a finished attempt.
     pub(crate) fn record_result(&mut self, result: &AttemptResult) {
         let Some(message) = self.messages.get_mut(&result.message) else { return };
         message.attempts_in_flight -= 1;
@@ -98,8 +102,8 @@
         }
     }
 
-    /// Returns what an overdue attempt shows of its endpoint and destination, or `None` when the attempt is
-    /// no longer in flight or one of them is unknown.
+    /// Checks whether the endpoint and the destination of an overdue attempt have answered since it was sent.
+    /// Returns `None` when the attempt is not in flight or one of them is unknown.
     pub(crate) fn silence(&self, overdue: &DueAttempt) -> Option<Silence> {
         let endpoint = self.attempts.get(overdue.id())?.endpoint;
         let message = self.messages.get(&overdue.message)?;
--- a/src/state/dispatch_state/deadlines.rs
+++ b/src/state/dispatch_state/deadlines.rs
@@ -1,29 +1,30 @@
-//! The deadline indexes over attempts in flight, and the groups that attempts belong to in them.
+//! Upkeep of the deadline indexes over attempts in flight and of the groups in them.
 
 use super::DispatchState;
 use crate::interface::Time;
 use crate::state::{AttemptGroup, AttemptId, Message, SentAttempt};
 
-/// Time after sending at which the attempts of a group come due in each index.
+/// Time from sending until the attempts of a group come due in each index, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupSpans {
     /// An attempt of the group is overdue after this.
     pub(crate) overdue: Time,
-    /// The same for the class's group of all destinations that have no groups of their own.
+    /// An attempt of the shared group of the same class is overdue after this.
     pub(crate) shared_overdue: Time,
     /// A lone attempt of the group may be hedged after this.
     pub(crate) hedge: Time,
 }
 
 impl DispatchState {
-    /// Returns the group in which a message's attempts become overdue.
+    /// Returns the group of a message's attempts in the overdue index: the shared group of the class until
+    /// the destination has its own groups.
     pub(crate) fn overdue_group(&self, message: &Message) -> AttemptGroup {
         let destination = self.destinations.get(message.destination);
         let has_own_groups = destination.is_some_and(|destination| destination.has_own_groups);
         AttemptGroup { destination: has_own_groups.then_some(message.destination), class: message.class }
     }
 
-    /// Removes an attempt from the index of overdue attempts.
+    /// Removes an attempt from the overdue index.
     pub(super) fn forget_overdue(&mut self, id: AttemptId, sent_at: Time) {
         let Some(message) = self.messages.get(&id.message) else { return };
         let group = self.overdue_group(message);
@@ -31,7 +32,8 @@
         self.overdue_index.remove(group, sent);
     }
 
-    /// Updates the index of lone attempts after an attempt of the message, or the message itself, changed.
+    /// Updates the hedge index after a message or one of its attempts changed. A message without a final
+    /// answer has an entry for its lone attempt, which may be hedged `hedge_delay` nanoseconds after sending.
     pub(crate) fn update_lone_attempt(&mut self, id: u32, hedge_delay: Time) {
         let first = self.attempts.running(id).next();
         let first = first.map(|running| SentAttempt {
@@ -54,14 +56,15 @@
         }
     }
 
-    /// Sets the times after which the attempts of a destination's group come due.
+    /// Sets the times after which the attempts of a group of one destination come due.
     pub(crate) fn set_spans(&mut self, group: AttemptGroup, spans: GroupSpans) {
         self.overdue_index.set_span(group, spans.overdue);
         self.overdue_index.set_span(group.shared(), spans.shared_overdue);
         self.hedge_index.set_span(group, spans.hedge);
     }
 
-    /// Gives a destination groups of its own once its latencies are known; returns true if it got them now.
+    /// Gives a destination its own groups once it has enough latency samples for a percentile; returns true
+    /// if it got them now.
     pub(crate) fn start_own_groups(&mut self, destination: u32) -> bool {
         let Some(destination) = self.destinations.get_mut(destination) else { return false };
         let starts = !destination.has_own_groups && destination.latencies.high_percentile.is_some();
@@ -69,7 +72,7 @@
         starts
     }
 
-    /// Moves the attempts of a destination's group out of the shared group of their class.
+    /// Moves the attempts to the destination of `group` from the shared group of the class to `group`.
     pub(crate) fn leave_shared_group(&mut self, group: AttemptGroup, overdue_span: Time) {
         let messages = &self.messages;
         let belongs = |message: u32| Some(messages[&message].destination) == group.destination;
--- a/src/state/dispatch_state/messages.rs
+++ b/src/state/dispatch_state/messages.rs
@@ -1,4 +1,4 @@
-//! Messages: accepted, waiting, completed, dropped.
+//! Operations on messages: insert, wait in the queue, complete, drop.
 
 use super::DispatchState;
 use crate::interface::{AcceptedMessage, Class, Idempotency, Time};
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 impl DispatchState {
-    /// Adds an accepted message, with the attempts that an earlier process of this courier made, if any;
-    /// returns false when a message of this number is already there.
+    /// Adds an accepted message, with the attempts that earlier processes of this courier made if it was
+    /// recovered. Returns false when a message of this number exists already.
     pub(crate) fn insert_message(
         &mut self,
         accepted: &AcceptedMessage,
@@ -28,7 +28,8 @@
         true
     }
 
-    /// Returns the state in which a message waits, or would wait, in the queue of its destination.
+    /// Computes the state in which a message has to wait at clock time `now`, provided that attempts can be
+    /// recorded.
     pub(crate) fn queue_state(&self, message: &Message, idempotency: Idempotency, now: Time) -> QueueState {
         if let Some(queue) = self.key_queues.get(message.ordering_key) {
             if !queue.is_first(message.position()) {
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Returns the destinations that messages wait for, the one with the least recent send first.
+    /// Returns the destinations with waiting messages, the least recently served first (fair scheduling).
     pub(crate) fn waiting_by_last_send(&self) -> Vec<u32> {
         let mut waiting: Vec<u32> = self.wait_queue.destinations.iter().copied().collect();
         waiting.sort_by_key(|&id| self.destinations[id].last_sent_at);
         waiting
     }
 
-    /// Returns the messages of a destination that still wait as [`QueueState::KeyCooldown`] although the
+    /// Returns the messages of a destination that are still in [`QueueState::KeyCooldown`] although the
     /// cooldown of their key has ended.
     pub(crate) fn cooled_down(&self, destination: u32, now: Time) -> Vec<u32> {
         let Some(destination) = self.destinations.get(destination) else { return Vec::new() };
@@ -86,8 +87,8 @@
         waiting
     }
 
-    /// Returns the messages without a final answer whose deadline is at or before `deadline`, and those that
-    /// wait for a retry which is allowed until `retry_expiry` at most.
+    /// Returns the messages without a final answer whose deadline is at or before `deadline`, and the waiting
+    /// messages that may not be retried after `retry_expiry`. Both are clock times in nanoseconds.
     pub(crate) fn expired(&self, deadline: Time, retry_expiry: Time) -> BTreeSet<u32> {
         let due = self.deadlines.iter().take_while(|entry| entry.at <= deadline);
         let expiries = self.wait_queue.retry_expiries.iter();
@@ -95,9 +96,9 @@
         due.chain(unretryable).map(|entry| entry.message).collect()
     }
 
-    /// Returns up to `count` messages of least weight among those that wait for these destinations and may be
-    /// shed, least first; those of equal weight by destination and age. `weight_of` takes a class and the
-    /// time of acceptance, and must not grow with age.
+    /// Returns the messages to shed: up to `count` of least priority weight among the sheddable messages that
+    /// wait for these destinations, in ascending order of weight, then destination, then age. `weight_of`
+    /// returns the weight from a class and a time of acceptance, and must not grow with age.
     pub(crate) fn least_weight(
         &self,
         destinations: &BTreeSet<u32>,
@@ -114,7 +115,8 @@
         search.least_weight()
     }
 
-    /// Marks a message as completed; returns its attempts that are in flight and not cancelled.
+    /// Marks a message as completed and takes it out of its wait queue; returns the numbers of its attempts
+    /// that are in flight and not cancelled.
     pub(crate) fn complete(&mut self, id: u32) -> Vec<u16> {
         if let Some(message) = self.messages.get_mut(&id) {
             message.completed = true;
@@ -124,8 +126,8 @@
         self.attempts.running(id).map(|running| running.id.attempt).collect()
     }
 
-    /// Drops a message if it is completed and has nothing in flight; returns the next message of its ordering
-    /// key if that one waits.
+    /// Drops a message if it is completed and has no attempt in flight. Returns the next message of its
+    /// ordering key if that one waits to be sent.
     pub(crate) fn drop_finished(&mut self, id: u32) -> Option<u32> {
         let message = self.messages.get(&id)?;
         if !message.completed || message.attempts_in_flight > 0 {
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -1,36 +1,37 @@
-//! Per-key queues of ordered messages, and the cooldown of each key.
+//! Queues of ordered messages, one per ordering key, and the cooldown of each key (rule 5).
 
 use super::QueuePosition;
 use crate::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages of one ordering key, oldest first.
+/// The messages of one ordering key that are not dropped yet, in order of acceptance.
 #[derive(Debug, Default)]
 pub(crate) struct KeyQueue {
     messages: BTreeSet<QueuePosition>,
-    /// No message that has had no attempt is sent before this.
+    /// Clock time before which no first attempt of a message of the key is sent, in nanoseconds.
     pub(crate) cooldown_until: Time,
 }
 
 impl KeyQueue {
-    /// Whether the message is the first of its key.
+    /// Whether the message is the first of its key; only that one may be sent.
     pub(crate) fn is_first(&self, position: QueuePosition) -> bool {
         self.messages.first() == Some(&position)
     }
 }
 
-/// An idle key and the end of its cooldown.
+/// Index entry: a key without messages, in order of the end of its cooldown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey {
     cooldown_until: Time,
     key: u64,
 }
 
-/// The queues of all ordering keys, and the keys without messages by the end of their cooldown. Key 0 means
-/// no ordering and has no queue.
+/// The queues of all ordering keys. Key 0 means no ordering and has no queue.
 #[derive(Debug, Default)]
 pub(crate) struct KeyQueues {
     by_key: BTreeMap<u64, KeyQueue>,
+    /// Keys that were without messages at some time, so that their queues can be removed after the cooldown.
+    /// An entry may be outdated; [`forget_idle`](KeyQueues::forget_idle) checks the queue itself.
     idle: BTreeSet<IdleKey>,
 }
 
@@ -47,14 +48,14 @@
         }
     }
 
-    /// Extends the cooldown of a key to `until`; an earlier end is ignored.
+    /// Extends the cooldown of a key to clock time `until`; never shortens it.
     pub(crate) fn cool_down(&mut self, key: u64, until: Time) {
         if let Some(queue) = self.by_key.get_mut(&key) {
             queue.cooldown_until = queue.cooldown_until.max(until);
         }
     }
 
-    /// Removes a message from the queue of its key; returns the message that is first now.
+    /// Removes a message from the queue of its key; returns the message that is now the first, if any.
     pub(crate) fn leave(&mut self, key: u64, position: QueuePosition) -> Option<u32> {
         let queue = self.by_key.get_mut(&key)?;
         queue.messages.remove(&position);
@@ -65,7 +66,7 @@
         next
     }
 
-    /// Forgets idle keys whose cooldown is over.
+    /// Removes the queues of keys that have no messages and whose cooldown is over.
     pub(crate) fn forget_idle(&mut self, now: Time) {
         while let Some(idle) = self.idle.first().copied().filter(|idle| idle.cooldown_until <= now) {
             self.idle.pop_first();
--- a/src/state/latency.rs
+++ b/src/state/latency.rs
@@ -1,18 +1,20 @@
-//! Recent latencies.
+//! Sliding window of recent latencies.
 
 use crate::interface::Time;
 use std::collections::VecDeque;
 
-/// The latencies of the last calls in nanoseconds, and their high percentile once there are enough.
+/// Latencies of the last served calls, and a high percentile of them. All in nanoseconds.
 #[derive(Debug, Default)]
 pub(crate) struct LatencySamples {
+    /// The latencies, oldest first.
     samples: VecDeque<Time>,
+    /// The percentile of `samples`; `None` while there are too few.
     pub(crate) high_percentile: Option<Time>,
 }
 
 impl LatencySamples {
-    /// Adds a latency and drops all but the last `capacity`; `percentile` is computed from the sorted
-    /// latencies.
+    /// Adds a latency, keeps the last `capacity` and recomputes the percentile: `percentile` takes the
+    /// latencies in ascending order and returns `None` if they are too few.
     pub(crate) fn record(
         &mut self,
         latency: Time,
--- a/src/state/limiter.rs
+++ b/src/state/limiter.rs
@@ -1,26 +1,30 @@
-//! What is known of one limit: a destination, an independent route, or one endpoint of several.
+//! State of the rate limiter and circuit breaker of one limit: of a destination, of an independent route, or
+//! of one endpoint among several that share their destination's limit.
 //!
-//! It counts and remembers; what follows for the rate and for ejection is decided in [`crate::policy`].
+//! This module keeps counters and observations. [`crate::policy`] derives the rate and ejections from them.
 
 use super::{seconds, LimitScope};
 use crate::interface::{
     AttemptOutcome, AttemptResult, LimitChange, LimitEvidence, LimitState, Settings, Time,
 };
 
-/// The conditions under which a limiter is used: the clock time, the settings and its scope.
+/// Inputs of a limiter's decisions that are not part of its state.
 #[derive(Clone, Copy)]
 pub(crate) struct LimitContext<'a> {
+    /// Clock time of the decision cycle, in nanoseconds.
     pub(crate) now: Time,
+    /// What the limiter limits.
     pub(crate) scope: LimitScope,
     pub(crate) settings: &'a Settings,
 }
 
 impl LimitContext<'_> {
-    /// The same context for the limiter of the destination, which always has a limit of its own.
+    /// Returns the same context for the limiter of the destination, whose scope is always `OwnLimit`.
     pub(crate) fn for_destination(self) -> Self {
         LimitContext { scope: LimitScope::OwnLimit, ..self }
     }
 
+    /// Returns the length of an overload window in seconds.
     pub(crate) fn window_seconds(&self) -> f64 {
         seconds(self.settings.overload_window)
     }
@@ -29,62 +33,68 @@
 /// State of the circuit breaker of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum CircuitState {
-    /// Healthy.
+    /// Healthy: the fair-share rate applies, if the rate is bounded at all.
     #[default]
     Closed,
-    /// Ejected since then: recovery trials only. `confirmed` is set once a call failed or was rejected, not
-    /// just overdue.
+    /// Ejected at clock time `since`: only recovery trials are sent. `confirmed` is true once a call has
+    /// failed or was rejected, and false while calls are only overdue.
     Open { since: Time, confirmed: bool },
-    /// Recovering: its capacity has grown since then.
+    /// Recovering: slow start, in which the assumed capacity grows linearly from clock time `since` on. That
+    /// is in the future while a Retry-After of the outage is pending.
     SlowStart { since: Time },
 }
 
-/// Why a limit is ejected.
+/// The evidence on which a limit is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionCause {
     /// A call failed or was rejected.
     Failure,
-    /// Calls are overdue and none is answered.
+    /// A call is overdue and none was answered since it was sent.
     Silence,
 }
 
-/// Failures and rejections in a row, and how frequent failures are.
+/// Failure rate and the current run of failures or rejections of a limit. Times are clock times in
+/// nanoseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureRecord {
-    /// Moving average of failures, 0 to 1.
+    /// Exponentially weighted moving average (EWMA) of call outcomes, with 1 for a failure and 0 for a served
+    /// call; a rejection leaves it unchanged.
     pub(crate) rate: f64,
-    /// Failures or rejections in a row.
+    /// Number of failures and rejections since the last served call.
     pub(crate) consecutive: u32,
-    /// When the first failure or rejection in a row came; without one, when the last call ended.
+    /// Start of the present outage: the first failure or rejection of the run, or an ejection for silence.
+    /// A slow start does not change it. While the limit is healthy, it is the time of the last outcome.
     pub(crate) since: Time,
-    /// When the last failure or rejection came.
+    /// Time of the last failure, rejection or ejection.
     pub(crate) last_at: Time,
-    /// The last failure or rejection is known not to have executed anything.
+    /// Whether the last failure or rejection certainly executed nothing (rejected, or no connection).
     pub(crate) last_not_executed: bool,
 }
 
 impl FailureRecord {
-    /// Seconds from the first failure or rejection in a row to the last.
+    /// Returns the observed length of the outage in seconds: from `since` to `last_at`.
     pub(crate) fn seconds(&self) -> f64 {
         seconds(self.last_at.saturating_sub(self.since))
     }
 }
 
-/// How many calls were served: since the limit is known, and in overload windows.
+/// Counts of the served calls of a limit: in total, and in tumbling windows as long as an overload window. A
+/// window begins with the first served call after the end of the one before.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServedCounts {
+    /// Clock time at which the limit became known, in nanoseconds.
     pub(crate) known_since: Time,
-    /// Calls served since the limit is known.
+    /// Number of calls served since `known_since`.
     pub(crate) calls: f64,
     window_start: Time,
-    /// Calls served in the present window.
+    /// Number of calls served in the present window.
     window_calls: f64,
-    /// The most calls served in any window.
+    /// Greatest number of calls served in any window so far.
     pub(crate) peak_window_calls: f64,
 }
 
 impl ServedCounts {
-    /// Counts a served call; `window` is the length of an overload window.
+    /// Counts a served call; `window` is the length of an overload window in nanoseconds.
     pub(crate) fn count(&mut self, now: Time, window: Time) {
         if self.window_start + window <= now {
             self.window_start = now;
@@ -96,53 +106,58 @@
     }
 }
 
-/// What the destination, or the endpoint list, has reported of the limit.
+/// The limit as reported by the destination in its answers, or by the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LimitReport {
-    /// Calls a second over all couriers; 0 where none was reported.
+    /// Rate limit in calls a second over all couriers; 0 while none was reported.
     pub(crate) rate_limit: f64,
-    /// The rate limit is exact, so that it may be enforced before any rejection.
+    /// Whether `rate_limit` is exact. An exact limit is enforced from the start, any other only after a
+    /// rejection.
     pub(crate) is_exact: bool,
-    /// Part of the limit that was left, as last reported, 0 to 1.
+    /// Unused fraction of the limit as last reported, 0 to 1.
     pub(crate) capacity_left: f64,
-    /// When `capacity_left` was reported.
+    /// Clock time at which `capacity_left` was reported, in nanoseconds.
     pub(crate) received_at: Time,
 }
 
-/// Calls that may be sent at once. The rate at which it refills is a decision of [`crate::policy`].
+/// Token bucket that paces the calls to a limit. [`crate::policy`] decides its refill rate and its size.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenBucket {
-    /// Tokens at `refilled_at`; one is needed to send a call.
+    /// Tokens in the bucket at `refilled_at`; a call needs one. Negative after a call of random cost or a
+    /// deferral.
     pub(crate) tokens: f64,
+    /// Clock time from which tokens are refilled; in the future while a Retry-After is pending.
     pub(crate) refilled_at: Time,
 }
 
-/// Health, demand and rate of one limit.
+/// Rate limiter (token bucket) and circuit breaker of one limit, for the calls of this courier.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Limiter {
     pub(crate) circuit: CircuitState,
-    /// The state from which it was ejected.
+    /// Circuit state before the ejection. It is restored if the limit turns out to be slow and not down.
     pub(crate) circuit_before_open: CircuitState,
-    /// Failure rate above which it is ejected.
+    /// Value of `failures.rate` above which the limit is ejected.
     pub(crate) ejection_threshold: f64,
-    /// No call may be sent before this (rule 6).
+    /// Clock time before which no call may be sent because of a Retry-After (rule 6), in nanoseconds.
     pub(crate) retry_after_until: Time,
     pub(crate) failures: FailureRecord,
-    /// When any call was last answered, with whatever outcome.
+    /// Clock time of the last call outcome other than a timeout, in nanoseconds. A failed connection counts
+    /// as an answer too.
     pub(crate) last_answer_at: Time,
     pub(crate) served: ServedCounts,
-    /// Messages that wait for the limit at this courier.
+    /// Number of messages that wait at this courier for the destination of the limit.
     pub(crate) waiting_messages: f64,
     pub(crate) report: LimitReport,
-    /// A call was rejected above the limit, and none was served since.
+    /// Whether a call was rejected as above the limit and none has been served since.
     pub(crate) rejected_above_limit: bool,
-    /// What this courier takes of the limit, in equal shares over all couriers.
+    /// Learned share of this courier, as a multiple of an equal share of the limit among all couriers:
+    /// infinite before the first rejection above the limit, reset by each one, adapted by served calls.
     pub(crate) shares_taken: f64,
     pub(crate) bucket: TokenBucket,
 }
 
 impl Limiter {
-    /// Creates the limiter of a healthy limit that may be sent one call at once.
+    /// Creates the limiter of a healthy limit, with one token in its bucket.
     pub(crate) fn new(ejection_threshold: f64, known_since: Time) -> Self {
         Limiter {
             ejection_threshold,
@@ -153,7 +168,7 @@
         }
     }
 
-    /// Records what a result reports of the limit, if it reports a rate limit.
+    /// Records the rate limit and the capacity left that a result reports; ignores one without a rate limit.
     pub(crate) fn record_report(&mut self, now: Time, result: &AttemptResult) {
         let Some(rate_limit) = result.rate_limit.filter(|&limit| limit > 0.0) else { return };
         self.report.rate_limit = rate_limit;
@@ -164,7 +179,8 @@
         }
     }
 
-    /// Ejects the limit: only recovery trials are sent from now on. Returns false if it was ejected before.
+    /// Ejects the limit (opens its circuit): only recovery trials are sent from now on. Returns false if it
+    /// was ejected already.
     pub(crate) fn eject(&mut self, now: Time, cause: EjectionCause) -> bool {
         let confirmed = cause == EjectionCause::Failure;
         if let CircuitState::Open { since, confirmed: before } = self.circuit {
@@ -185,7 +201,7 @@
         matches!(self.circuit, CircuitState::Open { .. })
     }
 
-    /// Describes its present state and the outcome that led to it.
+    /// Describes the present state of the limit for the log and metrics, with the outcome that led to it.
     pub(crate) fn change(&self, destination: u32, endpoint: u32, outcome: AttemptOutcome) -> LimitChange {
         let state = match self.circuit {
             CircuitState::Closed => LimitState::Healthy,
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -1,61 +1,74 @@
-//! Messages that were accepted and not yet dropped, with their attempts.
+//! State of one message from its acceptance until it is dropped, with its possible executions.
 
 use super::{AttemptGroup, QueueState, SentAttempt};
 use crate::interface::{AcceptedMessage, AttemptOutcome, Class, Time, UnresolvedAttempt};
 
-/// An attempt that is in flight or may have been executed; the first sent is the least.
+/// An attempt that is in flight or may have been executed, in order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PossibleExecution {
+    /// Clock time of sending, in nanoseconds.
     pub(crate) sent_at: Time,
+    /// Number of the attempt, counted from 0 for each message.
     pub(crate) attempt: u16,
+    /// Zone of the endpoint that it was sent to.
     pub(crate) zone: u8,
 }
 
-/// The position of a message among others by age; the oldest is the least.
+/// Position of a message in any queue: messages are ordered by acceptance, the first accepted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
+    /// Sequence number that the dispatcher gave the message when it was accepted.
     pub(crate) sequence: u64,
     pub(crate) message: u32,
 }
 
-/// A message that was accepted.
+/// An accepted message. Times are clock times in nanoseconds.
 #[derive(Debug, Default)]
 pub(crate) struct Message {
     pub(crate) id: u32,
     pub(crate) destination: u32,
     pub(crate) class: usize,
-    /// 0 for a message without one, or of a class that is not ordered.
+    /// 0 for a message without an ordering key, or of a class that is not ordered.
     pub(crate) ordering_key: u64,
+    /// Sequence number of the acceptance, which orders messages by age.
     pub(crate) sequence: u64,
+    /// Time of acceptance, computed as the deadline minus the class's deadline span.
     pub(crate) accepted_at: Time,
+    /// Time by which the message must have its final answer.
     pub(crate) deadline: Time,
+    /// Number of attempts sent so far, those of earlier processes included.
     pub(crate) attempts: u16,
-    /// Those of its attempts that this machine could not begin. They do not count against the maximum.
+    /// Number of attempts that ended with [`AttemptOutcome::LocalFault`]: this machine could not begin them.
+    /// They do not count against `max_attempts`.
     pub(crate) local_faults: u16,
+    /// Number of attempts whose result has not arrived, cancelled ones included.
     pub(crate) attempts_in_flight: u32,
+    /// Attempts that are in flight or may have been executed.
     pub(crate) possibly_executed: Vec<PossibleExecution>,
+    /// Whether the message has its final answer.
     pub(crate) completed: bool,
     /// Its state in the queue of its destination, `None` while it does not wait.
     pub(crate) queue_state: Option<QueueState>,
-    /// When it may no longer be retried, if it waits and such a time is known.
+    /// Time from which it may no longer be retried; `None` while it does not wait or has no such time.
     pub(crate) retry_expiry: Option<Time>,
-    /// Its attempt in flight, if there is exactly one and it is not cancelled.
+    /// Its attempt in flight, if there is exactly one and it is not cancelled: the candidate for a hedge.
     pub(crate) lone_attempt: Option<SentAttempt>,
-    /// For a recovered message that was surely never executed: its number of attempts up to which none since
-    /// the recovery has reached an endpoint.
+    /// Set only for a recovered message that was certainly not executed before the recovery. It equals
+    /// `attempts` unless an attempt since the recovery is in flight or may have reached an endpoint.
     pub(crate) uncalled_attempts: Option<u16>,
 }
 
-/// The attempts that an earlier process of this courier made for a message.
+/// The attempts that earlier processes of this courier made for a recovered message.
 #[derive(Clone, Debug)]
 pub(crate) struct RecoveredAttempts {
+    /// Number of all attempts made.
     pub(crate) attempts: u16,
-    /// Those that may have been executed.
+    /// The attempts that may have been executed.
     pub(crate) unresolved: Vec<UnresolvedAttempt>,
 }
 
 impl Message {
-    /// Creates a message that was accepted now.
+    /// Creates the state of a message that is accepted at `now`.
     pub(crate) fn new(accepted: &AcceptedMessage, class: &Class, sequence: u64, now: Time) -> Self {
         let deadline = now + accepted.time_remaining;
         Message {
@@ -70,7 +83,7 @@
         }
     }
 
-    /// Adds the attempts of an earlier process.
+    /// Restores the attempts that earlier processes made.
     pub(super) fn restore(&mut self, recovered: &RecoveredAttempts, now: Time) {
         self.attempts = recovered.attempts;
         self.uncalled_attempts = recovered.unresolved.is_empty().then_some(recovered.attempts);
@@ -83,28 +96,28 @@
         }
     }
 
-    /// Returns its position among messages by age.
+    /// Returns its position among messages in order of acceptance.
     pub(crate) fn position(&self) -> QueuePosition {
         QueuePosition { sequence: self.sequence, message: self.id }
     }
 
-    /// Returns the group of attempts to its destination and of its class.
+    /// Returns the attempt group of its destination and class.
     pub(crate) fn group(&self) -> AttemptGroup {
         AttemptGroup { destination: Some(self.destination), class: self.class }
     }
 
-    /// Returns the first of its attempts that may have been executed.
+    /// Returns the first sent of the attempts that may have been executed.
     pub(crate) fn first_possible_execution(&self) -> Option<PossibleExecution> {
         self.possibly_executed.iter().min().copied()
     }
 
-    /// Whether it was recovered unexecuted and no attempt since has reached an endpoint.
+    /// Whether it was recovered, certainly not executed before, and no attempt since has reached an endpoint.
     pub(crate) fn awaits_first_call(&self) -> bool {
         self.uncalled_attempts == Some(self.attempts)
     }
 
-    /// Records that one of its attempts was not executed. Unless the endpoint itself rejected it, the attempt
-    /// has not reached one.
+    /// Records that one of its attempts was certainly not executed. Of these outcomes, only
+    /// [`AttemptOutcome::Rejected`] shows that the attempt reached an endpoint.
     pub(crate) fn record_not_executed(&mut self, attempt: u16, outcome: AttemptOutcome) {
         self.possibly_executed.retain(|execution| execution.attempt != attempt);
         self.local_faults += u16::from(outcome == AttemptOutcome::LocalFault);
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -1,18 +1,18 @@
-//! Pseudo-random numbers, the same for the same seed on every platform.
+//! Pseudo-random number generator: a seed gives the same numbers on every platform.
 
-/// Random numbers from a seed (splitmix64).
+/// The SplitMix64 generator.
 #[derive(Debug, Default)]
 pub(crate) struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Creates the generator of a seed.
+    /// Creates a generator from a seed.
     pub(crate) fn new(seed: u64) -> Self {
         Random { state: seed }
     }
 
-    /// Returns the next number, uniform in [0, 1).
+    /// Returns the next number, uniformly distributed in [0, 1), with 53 random bits.
     pub(crate) fn draw(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.state;
--- a/src/state/shed_order.rs
+++ b/src/state/shed_order.rs
@@ -1,4 +1,8 @@
-//! The order in which waiting messages are shed: the search for those of least priority weight.
+//! Load shedding: finds the waiting messages of least priority weight.
+//!
+//! The sheddable messages are kept in one list per destination and class. The weight of a message does not
+//! grow with its age, so a list in order of age, oldest first, is also in ascending order of weight. The
+//! search is a k-way merge of these lists with a binary heap.
 
 use super::{DestinationQueue, QueuePosition};
 use crate::interface::Time;
@@ -6,17 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::ops::Bound;
 
-/// A message by its age; the oldest is the least.
+/// A message as ordered by age, oldest first: by time of acceptance, then by queue position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AgedMessage {
     accepted_at: Time,
     position: QueuePosition,
 }
 
-/// Messages of one destination and one class that may be shed.
+/// Messages of one destination and one class that may be shed, in two orders.
 #[derive(Debug, Default)]
 pub(super) struct Sheddable {
     by_age: BTreeSet<AgedMessage>,
+    /// Time of acceptance of each message, by queue position.
     by_position: BTreeMap<QueuePosition, Time>,
 }
 
@@ -36,7 +41,7 @@
     }
 }
 
-/// A priority weight in a total order.
+/// A priority weight with the total order of [`f64::total_cmp`], so that it can be a sort key.
 #[derive(Clone, Copy, Debug)]
 struct Weight(f64);
 
@@ -60,7 +65,7 @@
 
 impl Eq for Weight {}
 
-/// The oldest message of a list that the search has not visited yet.
+/// Heap entry of the merge: the oldest message of a list that has not been visited yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ListHead {
     weight: Weight,
@@ -68,7 +73,7 @@
     message: AgedMessage,
 }
 
-/// A message that may be among those of least weight.
+/// A message that may be shed, in the order of shedding: by weight, then destination, then position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     weight: Weight,
@@ -78,15 +83,16 @@
     message: u32,
 }
 
-/// Sheddable messages of one destination and class.
+/// The sheddable messages of one destination and class.
 struct ClassList<'a> {
     destination: u32,
     class: usize,
     messages: &'a Sheddable,
 }
 
-/// The search for the `count` messages of least weight among the sheddable ones of some destinations. Its
-/// cost depends on the number of destinations and on `count`, not on how many messages wait.
+/// Finds the `count` messages of least weight among the sheddable messages of some destinations.
+///
+/// The cost depends on the number of destinations and on `count`, not on the number of waiting messages.
 pub(crate) struct ShedSearch<'a, WeightOf> {
     lists: Vec<ClassList<'a>>,
     count: usize,
@@ -94,56 +100,56 @@
 }
 
 impl<'a, WeightOf: Fn(usize, Time) -> f64> ShedSearch<'a, WeightOf> {
-    /// Starts a search in no destinations. `weight_of` takes a class and the time of acceptance, and must not
-    /// grow with age.
+    /// Creates a search over no destinations. `weight_of` returns the weight of a message from its class and
+    /// its time of acceptance; it must not grow with the age of the message.
     pub(super) fn new(count: usize, weight_of: WeightOf) -> Self {
         ShedSearch { lists: Vec::new(), count, weight_of }
     }
 
-    /// Adds the sheddable messages that wait for a destination.
+    /// Adds the sheddable messages in the queue of a destination to the search.
     pub(super) fn add_queue(&mut self, destination: u32, queue: &'a DestinationQueue) {
         let of_queue = queue.sheddable.iter();
         self.lists.extend(of_queue.map(|(&class, messages)| ClassList { destination, class, messages }));
     }
 
-    /// Returns the messages of least weight, least first; those of equal weight by destination and age.
+    /// Returns up to `count` messages in ascending order of weight, then destination, then queue position.
     pub(super) fn least_weight(&self) -> Vec<u32> {
         let mut chosen = self.candidates();
         chosen.sort_unstable();
         chosen.into_iter().take(self.count).map(|candidate| candidate.message).collect()
     }
 
-    /// Returns at least `count` messages, if there are as many, among them those of least weight.
+    /// Returns a superset of the messages to shed: at least `count`, or all if there are fewer.
     fn candidates(&self) -> Vec<Candidate> {
         let mut heads = self.list_heads();
         let mut chosen: Vec<Candidate> = Vec::new();
-        let mut run_of_equals: BTreeMap<usize, usize> = BTreeMap::new();
+        // Number of visited messages of the present weight, by list.
+        let mut run_lengths: BTreeMap<usize, usize> = BTreeMap::new();
         while let Some(Reverse(head)) = heads.pop() {
-            // All that weigh as much as the last one are visited: which of them are shed depends on their
-            // order.
+            // Stop only at a heavier message: among messages of equal weight, destination and position decide
+            // which are shed, so all of them are candidates.
             let heavier = chosen.last().is_some_and(|last| last.weight < head.weight);
             if heavier && chosen.len() >= self.count {
                 break;
             }
             if heavier {
-                run_of_equals.clear();
+                run_lengths.clear();
             }
-            let run = run_of_equals.entry(head.list).or_default();
-            *run += 1;
+            let run_length = run_lengths.entry(head.list).or_default();
+            *run_length += 1;
             chosen.push(self.candidate(head.weight, head.list, head.message.position));
-            // A long run of equal weights is not visited to its end: replace_long_runs finds its first by
-            // order.
-            if *run <= self.count {
+            // At most `count + 1` messages of equal weight are visited per list. If there are more of them,
+            // replace_long_runs selects the first `count` by position.
+            if *run_length <= self.count {
                 heads.extend(self.next_head(&head));
             }
         }
-        run_of_equals.retain(|_, run| *run > self.count);
-        self.replace_long_runs(&mut chosen, run_of_equals.into_keys().collect());
+        run_lengths.retain(|_, length| *length > self.count);
+        self.replace_long_runs(&mut chosen, run_lengths.into_keys().collect());
         chosen
     }
 
-    /// Returns the oldest message of each list. It has the least weight of its list, so the least of all is
-    /// at the head of a list.
+    /// Returns a min-heap with the oldest message of each list, which has the least weight of its list.
     fn list_heads(&self) -> BinaryHeap<Reverse<ListHead>> {
         let mut heads = BinaryHeap::new();
         for (list, class_list) in self.lists.iter().enumerate() {
@@ -152,15 +158,15 @@
         heads
     }
 
-    /// Returns the message of the same list that is next by age, if any.
+    /// Returns the next younger message of the same list, if any.
     fn next_head(&self, head: &ListHead) -> Option<Reverse<ListHead>> {
         let after = (Bound::Excluded(head.message), Bound::Unbounded);
         let next = self.lists[head.list].messages.by_age.range(after).next();
         next.map(|message| self.head(head.list, message))
     }
 
-    /// Replaces chosen messages of the greatest weight, in lists with more than `count` of them, by the first
-    /// `count` by order.
+    /// Corrects the choice in `long_lists`, which have more than `count` messages of the greatest chosen
+    /// weight: replaces those chosen by the first `count` of that weight by queue position.
     fn replace_long_runs(&self, chosen: &mut Vec<Candidate>, long_lists: BTreeSet<usize>) {
         let Some(greatest) = chosen.last().map(|last| last.weight) else { return };
         chosen.retain(|candidate| candidate.weight < greatest || !long_lists.contains(&candidate.list));
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -1,9 +1,9 @@
-//! A hash table of rows by number.
+//! A hash table from numbers to boxed rows, with a hash that does not vary between processes.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// A hasher that gives a number the same hash in every process.
+/// Multiplicative hasher without a random seed: a number has the same hash in every process.
 #[derive(Default)]
 pub(crate) struct StableHasher {
     hash: u64,
@@ -25,8 +25,8 @@
     }
 }
 
-/// Rows by number, with access in constant time. It has no order: the result of a visit to all rows must not
-/// depend on one.
+/// Rows by number, with access in constant time. Rows have no defined order, so the effect of
+/// [`for_each`](Table::for_each) and [`retain`](Table::retain) must not depend on the order of visits.
 #[derive(Debug)]
 pub(crate) struct Table<T> {
     rows: HashMap<u32, Box<T>, BuildHasherDefault<StableHasher>>,
@@ -39,27 +39,27 @@
 }
 
 impl<T> Table<T> {
-    /// Returns a row, or `None` when there is none of this number.
+    /// Returns the row of a number, or `None` when there is none.
     pub(crate) fn get(&self, id: u32) -> Option<&T> {
         self.rows.get(&id).map(|row| &**row)
     }
 
-    /// Returns a row to change it, or `None` when there is none of this number.
+    /// Returns the row of a number for changes, or `None` when there is none.
     pub(crate) fn get_mut(&mut self, id: u32) -> Option<&mut T> {
         self.rows.get_mut(&id).map(|row| &mut **row)
     }
 
-    /// Returns a row, created with `new` if it is missing.
+    /// Returns the row of a number, created with `new` if it is missing.
     pub(crate) fn get_or_insert_with(&mut self, id: u32, new: impl FnOnce() -> T) -> &mut T {
         self.rows.entry(id).or_insert_with(|| Box::new(new()))
     }
 
-    /// Whether there is a row of this number.
+    /// Whether there is a row with this number.
     pub(crate) fn contains(&self, id: u32) -> bool {
         self.rows.contains_key(&id)
     }
 
-    /// Drops the rows for which `keep` returns false.
+    /// Removes the rows for which `keep` returns false.
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(&mut T) -> bool) {
         self.rows.retain(|_, row| keep(row));
     }
--- a/src/state/wait_queue.rs
+++ b/src/state/wait_queue.rs
@@ -1,47 +1,51 @@
-//! Messages that wait to be sent: of all destinations, and of one.
+//! Wait queues: the messages that wait to be sent to each destination, and indexes over all of them.
 
 use super::shed_order::Sheddable;
 use super::{Destination, Message, QueuePosition};
 use crate::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A message and a time that matters to it.
+/// Index entry: a message and one of its deadlines, the earliest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageTime {
+    /// Clock time in nanoseconds.
     pub(crate) at: Time,
     pub(crate) message: u32,
 }
 
-/// Why and for what a message waits. Of the messages of one destination and state, if the oldest may not be
-/// sent, none may; [`QueueState::KeyCooldown`] is the exception.
+/// What a message waits for. It decides which messages a decision cycle checks: of the messages of one
+/// destination and state, if the oldest may not be sent, none may, so that only the oldest is checked. The
+/// exception is [`QueueState::KeyCooldown`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueState {
-    /// No attempt of it may have been executed.
+    /// The message is certainly not executed, and may be sent to any endpoint.
     NotExecuted,
-    /// An attempt may have been executed; the message may be retried, in `zone` only if that is given.
+    /// An attempt may have been executed. A retry may go to any endpoint, or only to those in `zone` if set.
     Retry { zone: Option<u8> },
-    /// Its ordering key cools down, each key for a time of its own.
+    /// Its ordering key is in cooldown. Keys end their cooldowns at different times.
     KeyCooldown,
-    /// It is behind another message of its ordering key.
+    /// An earlier message of its ordering key is not finished yet.
     BehindInKey,
-    /// Its attempt cannot be recorded at present.
+    /// Its attempt needs a record, and attempts cannot be recorded at present.
     AwaitsRecording,
 }
 
-/// All messages that wait.
+/// Indexes over the wait queues of all destinations.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    /// Messages by when they may no longer be retried.
+    /// Waiting messages by the time from which they may no longer be retried.
     pub(crate) retry_expiries: BTreeSet<MessageTime>,
-    /// Destinations that any message waits for.
+    /// Destinations whose wait queue is not empty.
     pub(crate) destinations: BTreeSet<u32>,
 }
 
-/// What a message is put into the queue with.
+/// How a message enters the wait queue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueEntry {
     pub(crate) state: QueueState,
+    /// Clock time from which it may no longer be retried, in nanoseconds; `None` without such a time.
     pub(crate) retry_expiry: Option<Time>,
+    /// Whether load shedding may reject it.
     pub(crate) sheddable: bool,
 }
 
@@ -71,7 +75,7 @@
     }
 }
 
-/// Messages that wait for one destination, by state, in each the oldest first.
+/// The messages that wait for one destination: per queue state, in order of acceptance.
 #[derive(Debug, Default)]
 pub(crate) struct DestinationQueue {
     by_state: BTreeMap<QueueState, BTreeSet<QueuePosition>>,
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Returns the number of messages that wait.
+    /// Returns the number of waiting messages.
     pub(crate) fn len(&self) -> usize {
         self.count
     }
@@ -117,7 +121,8 @@
         self.count == 0
     }
 
-    /// Returns the oldest message of each state and all whose key cools down, oldest first.
+    /// Returns the messages that a decision cycle has to check, oldest first: the oldest of each state that
+    /// may be sent, and all in [`QueueState::KeyCooldown`].
     pub(crate) fn heads(&self) -> Vec<u32> {
         let mut heads: Vec<QueuePosition> = Vec::new();
         for (state, positions) in &self.by_state {
@@ -131,7 +136,7 @@
         heads.into_iter().map(|position| position.message).collect()
     }
 
-    /// Returns all messages whose key cools down, oldest first.
+    /// Returns all messages in [`QueueState::KeyCooldown`], oldest first.
     pub(crate) fn in_key_cooldown(&self) -> Vec<u32> {
         let positions = self.by_state.get(&QueueState::KeyCooldown).into_iter().flatten();
         positions.map(|position| position.message).collect()
--- a/src/state/wake_up.rs
+++ b/src/state/wake_up.rs
@@ -1,14 +1,16 @@
-//! The timer by which a dispatcher asks for its next decision cycle.
+//! The wake-up timer of a dispatcher: when it needs its next decision cycle.
 
 use crate::interface::Time;
 
-/// No wake-up is wanted or pending.
+/// Value of [`WakeUpTimer`] fields for no wake-up.
 const NO_WAKE_UP: Time = Time::MAX;
 
-/// The earliest time at which the present cycle wants the next one, and the wake-up that was requested last.
+/// Merges the wake-up times of one decision cycle into at most one request to the courier.
 #[derive(Debug)]
 pub(crate) struct WakeUpTimer {
+    /// Clock time by which the present cycle needs the next one: the minimum over `want_by` calls.
     wanted_at: Time,
+    /// Clock time of the wake-up that was requested last; a new request replaces it.
     pending_at: Time,
 }
 
@@ -19,22 +21,23 @@
 }
 
 impl WakeUpTimer {
-    /// Starts a decision cycle; returns how much later it came than the pending wake-up was due, 0 if it did
-    /// not.
+    /// Starts a decision cycle. Returns its delay in nanoseconds: `now` minus the time of the pending
+    /// wake-up, or 0 if none is due yet.
     pub(crate) fn start_cycle(&mut self, now: Time) -> Time {
         self.wanted_at = NO_WAKE_UP;
         now.saturating_sub(self.pending_at)
     }
 
-    /// Wants the next decision cycle at this time at the latest.
+    /// Asks for the next decision cycle at clock time `at` or before.
     pub(crate) fn want_by(&mut self, at: Time) {
         self.wanted_at = self.wanted_at.min(at);
     }
 
-    /// Ends a decision cycle; returns the wake-up to request, or `None` when the pending one is early enough
-    /// or none is wanted.
+    /// Ends a decision cycle. Returns the clock time of the wake-up to request, or `None` when the pending
+    /// one is early enough or none is needed. `tick` is the shortest interval between two decision cycles.
     pub(crate) fn end_cycle(&mut self, now: Time, tick: Time) -> Option<Time> {
-        // A wake-up may come rounded down: one that is due within a tick counts as used.
+        // The courier may round wake-up times down: one that is due within a tick may have started this
+        // cycle, so it counts as used.
         let used = self.pending_at <= now + tick;
         if !used && self.wanted_at >= self.pending_at {
             return None;
