--- a/tests/same_decisions/endpoint_model.rs
+++ b/tests/same_decisions/endpoint_model.rs
@@ -1,11 +1,11 @@
-//! Endpoints that behave at random: how they answer, and when.
+//! Model of endpoints with random behaviour: the outcome and the latency of each attempt.
 
 use crate::world::{MILLISECOND, SECOND};
 use linnetcart::*;
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// How an endpoint answers calls for a while.
+/// How an endpoint answers calls until its behaviour changes.
 #[derive(Clone, Copy)]
 pub enum Behaviour {
     Serves { usual_latency: Time },
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Draws how an attempt ends; `time_remaining` is that to the deadline of its message.
+    /// Draws the outcome and latency of an attempt. `time_remaining` is the time to the deadline of its
+    /// message, in nanoseconds; an attempt at an endpoint that hangs times out then.
     pub fn end_attempt(self, random: &mut StdRng, time_remaining: Time) -> AttemptEnd {
         if random.random_bool(0.001) {
             let no_capacity = random.random();
@@ -49,7 +50,7 @@
     }
 }
 
-/// One call in a hundred takes six times as long as usual.
+/// Draws a latency in nanoseconds: 0.5 to 1.9 times the usual one, and 6 times for one call in a hundred.
 fn serving_latency(random: &mut StdRng, usual_latency: Time) -> Time {
     if random.random_bool(0.01) {
         return usual_latency * 6;
@@ -57,13 +58,13 @@
     usual_latency * random.random_range(5..20) / 10
 }
 
-/// How long an attempt takes and how it ends.
+/// How an attempt ends, and the time from sending to that in nanoseconds.
 pub struct AttemptEnd {
     pub latency: Time,
     pub outcome: AttemptOutcome,
 }
 
-/// An endpoint and its present behaviour.
+/// An endpoint: its list entry, its present behaviour, and whether its answers carry load reports.
 pub struct EndpointModel {
     pub entry: Endpoint,
     pub behaviour: Behaviour,
--- a/tests/same_decisions/main.rs
+++ b/tests/same_decisions/main.rs
@@ -1,6 +1,6 @@
-//! Random worlds, each with a recorded digest of all actions of the dispatcher in it. A different digest
-//! means that some decision changed. If that is on purpose, the new digests are recorded with the reason and
-//! the bench's figures.
+//! Regression test of all decisions: random simulations in virtual time, each with a recorded CRC-32C digest
+//! of the dispatcher's actions. A different digest means that some decision changed. If that is on purpose,
+//! record the new digests, with the reason and the bench's figures.
 
 mod endpoint_model;
 mod random_settings;
@@ -9,11 +9,13 @@
 use linnetcart::{Action, Dispatcher};
 use world::World;
 
+/// Decision cycles per simulation.
 const CYCLES: usize = 600;
+/// Number of simulations; their seeds count from 0.
 const WORLDS: u64 = 24;
 
-/// The text of an action that goes into the digest: that of the first version, independent of names in the
-/// code.
+/// Formats an action for the digest, with the names of the first version: renames in the code must not change
+/// the digests.
 fn stable_text(action: &Action) -> String {
     match action {
         Action::Send { .. } | Action::Cancel { .. } | Action::Fail { .. } => format!("{action:?}"),
@@ -29,6 +31,7 @@
     }
 }
 
+/// Runs a simulation and returns the CRC-32C of the times and actions of all its decision cycles.
 fn digest(seed: u64) -> u32 {
     let mut world = World::new(seed);
     let mut dispatcher = Dispatcher::new(world.settings.clone(), seed);
--- a/tests/same_decisions/random_settings.rs
+++ b/tests/same_decisions/random_settings.rs
@@ -1,4 +1,4 @@
-//! Random classes and settings of a world.
+//! Random classes and settings for a simulation.
 
 use crate::world::{MILLISECOND, SECOND};
 use linnetcart::*;
--- a/tests/same_decisions/world.rs
+++ b/tests/same_decisions/world.rs
@@ -1,6 +1,6 @@
-//! A random world around one courier, in virtual time: clients, destinations with faults, a changing endpoint
-//! list and pauses of the courier. The same seed gives the same world as long as the dispatcher decides the
-//! same.
+//! A random simulation around one courier, in virtual time: clients, destinations with faults, a changing
+//! endpoint list and pauses of the courier. The same seed gives the same events as long as the dispatcher
+//! makes the same decisions.
 
 use crate::endpoint_model::{Behaviour, EndpointModel};
 use crate::random_settings::{random_classes, random_settings};
@@ -12,12 +12,16 @@
 pub const MILLISECOND: Time = 1_000_000;
 pub const SECOND: Time = 1_000 * MILLISECOND;
 
-/// A message that the courier has not answered, or that still has attempts in flight.
+/// A message without a final answer, or with attempts still in flight.
 #[derive(Default)]
 struct OpenMessage {
+    /// Numbers of its attempts in flight.
     in_flight: BTreeSet<u16>,
+    /// Number of attempts sent so far.
     attempts: u16,
+    /// Whether it has its final answer.
     completed: bool,
+    /// Clock time in nanoseconds.
     deadline: Time,
 }
 
@@ -27,7 +31,7 @@
     attempt: u16,
 }
 
-/// When the result of an attempt comes; the earliest is the least.
+/// Queue entry: the result of an attempt arrives at clock time `at`; the earliest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Time,
@@ -37,23 +41,28 @@
 struct InFlightAttempt {
     endpoint: u32,
     sent_at: Time,
+    /// The outcome that its result will have, drawn when it is sent.
     outcome: AttemptOutcome,
 }
 
-/// The state of the world.
+/// The simulated surroundings of one dispatcher: its clients, endpoints and clock.
 pub struct World {
     random: StdRng,
     pub settings: Settings,
     pub now: Time,
     endpoints: BTreeMap<u32, EndpointModel>,
+    /// Number of destinations.
     destinations: u32,
     open: BTreeMap<u32, OpenMessage>,
     arrivals: BTreeSet<Arrival>,
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    /// Clock time of the wake-up that the dispatcher requested last.
     wake_up: Time,
     next_message: u32,
     messages_a_second: f64,
+    /// Number of distinct ordering keys of messages.
     ordering_keys: u64,
+    /// Probability per decision cycle that endpoints of a destination change their behaviour.
     fault_probability: f64,
 }
 
@@ -115,6 +124,8 @@
         events
     }
 
+    /// Advances the clock to a random time, often that of the wake-up; a rare long step is a courier pause.
+    /// Returns the step in nanoseconds.
     fn advance_clock(&mut self) -> Time {
         let tick = self.settings.tick;
         let step = match self.random.random_range(0..100) {
@@ -126,7 +137,7 @@
         step
     }
 
-    /// Changes the behaviour of some endpoints of a destination, or of all of them, at random.
+    /// At random, gives some or all endpoints of a destination a new behaviour.
     fn change_behaviour(&mut self) {
         let random = &mut self.random;
         if !random.random_bool(self.fault_probability) {
@@ -145,6 +156,7 @@
         }
     }
 
+    /// At random, returns the complete endpoint list, a failure of it, or a status change of one endpoint.
     fn change_list(&mut self) -> Option<Event> {
         match self.random.random_range(0..400) {
             0 => Some(self.complete_list()),
@@ -160,6 +172,7 @@
         }
     }
 
+    /// Adds the results of all attempts that have arrived by now.
     fn end_attempts(&mut self, events: &mut Vec<Event>) {
         while let Some(arrival) = self.arrivals.first().copied().filter(|arrival| arrival.at <= self.now) {
             self.arrivals.pop_first();
@@ -190,6 +203,7 @@
         }))
     }
 
+    /// Adds the messages of `step` nanoseconds at the mean rate, and a rare burst.
     fn submit_messages(&mut self, step: Time, events: &mut Vec<Event>) {
         let mean = self.messages_a_second * step as f64 / SECOND as f64;
         let mut count = mean as u32 + u32::from(self.random.random_bool(mean.fract()));
@@ -205,8 +219,8 @@
         let random = &mut self.random;
         let class = random.random_range(0..self.settings.classes.len());
         let deadline = self.settings.classes[class].deadline;
-        let hurried = random.random_bool(0.1);
-        let time_remaining = if hurried { random.random_range(0..deadline) } else { deadline };
+        let has_short_deadline = random.random_bool(0.1);
+        let time_remaining = if has_short_deadline { random.random_range(0..deadline) } else { deadline };
         let destination = random.random_range(0..self.destinations + 1).min(self.destinations);
         let ordering_key = random.random_range(0..=self.ordering_keys);
         let id = self.next_message;
@@ -217,6 +231,7 @@
         Event::Accepted(AcceptedMessage { id, destination, class, time_remaining, ordering_key, tenant: 0 })
     }
 
+    /// At random, lets a client cancel a message that has no final answer.
     fn cancel_message(&mut self) -> Option<Event> {
         if !self.random.random_bool(0.02) {
             return None;
