--- a/bench-adapter/src/action.rs
+++ b/bench-adapter/src/action.rs
@@ -1,12 +1,12 @@
-//! Encoding of the dispatcher's actions as records. It has no state and decides nothing.
+//! Encoding of the dispatcher's actions as wire records. All integers are little-endian.
 
 use crate::codes::action;
 use linnetcart::{Action, Time};
 
-/// Size of the instance's number, the first field of every action.
+/// Size of the instance number, the first field of every action record.
 const INSTANCE_BYTES: u32 = 4;
 
-/// The code of an action's record, and its fields after the instance's number.
+/// The code of an action record, and its encoded fields after the instance number.
 struct EncodedAction {
     code: u8,
     fields: Vec<u8>,
@@ -18,7 +18,8 @@
     }
 }
 
-/// Appends the record of an instance's action to `out`; `clock` is the time of the batch in nanoseconds.
+/// Appends the record of an action of an instance to `out`: code, length, instance number and fields.
+/// `clock` is the clock time of the batch, in nanoseconds.
 pub(crate) fn encode_action(out: &mut Vec<u8>, instance: u32, clock: Time, action: &Action) {
     let encoded = encode_fields(clock, action);
     let length = encoded.fields.len() as u32 + INSTANCE_BYTES;
@@ -59,7 +60,8 @@
     }
 }
 
-/// Encodes a line for the report, truncated to the greatest length that its length field can hold.
+/// Encodes a line of text for the bench's report, truncated at a character boundary to 65 535 bytes, the most
+/// that its 16-bit length field can express.
 fn encode_remark(text: &str) -> EncodedAction {
     let mut end = text.len().min(usize::from(u16::MAX));
     while !text.is_char_boundary(end) {
--- a/bench-adapter/src/action/tests.rs
+++ b/bench-adapter/src/action/tests.rs
@@ -1,4 +1,4 @@
-//! Actions, encoded as the description of the wire format has them.
+//! Compares encoded actions with example records in the wire format.
 
 use super::*;
 use crate::tests::hex;
--- a/bench-adapter/src/codes.rs
+++ b/bench-adapter/src/codes.rs
@@ -1,5 +1,5 @@
-//! Codes of the wire format. The name in code font is that in the bench's description of the format. Events
-//! and actions are numbered independently, so one number may stand for one of each.
+//! Numeric codes of the wire format. The name in code font is that in the bench's description of the format.
+//! Events and actions are numbered independently, so the same number may stand for one of each.
 
 /// Codes of the records in a batch.
 pub(crate) mod event {
@@ -21,7 +21,7 @@
     pub(crate) const HEALTH_CHECKED: u8 = 80;
     /// `message`: gossip from another instance.
     pub(crate) const GOSSIP: u8 = 90;
-    /// `halt`: an instance is halted without notice.
+    /// `halt`: an instance is halted without notice, and its state is dropped.
     pub(crate) const INSTANCE_HALTED: u8 = 100;
     /// `register`: a numbered list of endpoints that later events of any instance refer to.
     pub(crate) const NUMBERED_LIST: u8 = 110;
@@ -29,7 +29,7 @@
 
 /// Codes of the records in a reply.
 pub(crate) mod action {
-    /// `remark`: a line of text for the report.
+    /// `remark`: a line of text for the bench's report.
     pub(crate) const REMARK: u8 = 10;
     /// `track`: watch the endpoint list.
     pub(crate) const WATCH_ENDPOINTS: u8 = 20;
@@ -50,13 +50,13 @@
     /// `publish`: send gossip.
     pub(crate) const GOSSIP: u8 = 120;
 
-    /// Value of the field of `track` that starts the watch.
+    /// Value of the field in `track` that starts the watch.
     pub(crate) const WATCH_ON: u8 = 1;
-    /// Value of the addressee of `publish` that stands for all other instances.
+    /// Recipient in `publish` that stands for all other instances.
     pub(crate) const ALL_INSTANCES: u32 = u32::MAX;
 }
 
-/// Kinds of an [`event::ENDPOINT_LIST`].
+/// Kinds of an [`event::ENDPOINT_LIST`] record.
 pub(crate) mod list_event {
     /// `delta`: the changed entries only.
     pub(crate) const CHANGES: u8 = 0;
@@ -64,22 +64,22 @@
     pub(crate) const COMPLETE: u8 = 1;
     /// `cached`: the complete list that the instance had last.
     pub(crate) const CACHED: u8 = 2;
-    /// `failed`: no list; the earlier one stays valid.
+    /// `failed`: no list is available; the previous one stays valid.
     pub(crate) const FAILED: u8 = 3;
 }
 
-/// Status of an endpoint in a numbered list.
+/// Codes for the status of an endpoint in a numbered list, which the wire format calls its phase.
 pub(crate) mod phase {
     pub(crate) const READY: u8 = 1;
     pub(crate) const REMOVED: u8 = 2;
     pub(crate) const DRAINING: u8 = 3;
 }
 
-/// Outcome of an attempt or a health check.
+/// Codes for the outcome of an attempt or a health check. The meaning of the note depends on the outcome.
 pub(crate) mod outcome {
     pub(crate) const SERVED: u8 = 0;
     pub(crate) const ERROR: u8 = 1;
-    /// The note is the Retry-After in milliseconds; 0 for none.
+    /// The note is the Retry-After in milliseconds, 0 for none.
     pub(crate) const REJECTED: u8 = 2;
     pub(crate) const TIMED_OUT: u8 = 3;
     pub(crate) const NO_CONNECTION: u8 = 4;
--- a/bench-adapter/src/event.rs
+++ b/bench-adapter/src/event.rs
@@ -1,7 +1,7 @@
-//! Decoding of records into the dispatcher's events. It has no state and decides nothing.
+//! Decoding of wire records into the dispatcher's events.
 //!
-//! The functions take the fields after the instance's number, if the record has one, and ignore any fields
-//! that follow those they know.
+//! The functions read the fields that follow the instance number, if the record has one. They ignore trailing
+//! fields that they do not know.
 
 use crate::codes::{list_event, outcome, phase};
 use crate::error::RecordError;
@@ -14,11 +14,11 @@
 use std::collections::BTreeMap;
 
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
-/// Tenant of a message that names none.
+/// Tenant of a message whose record ends before the tenant field.
 const DEFAULT_TENANT: u32 = 0;
 
-/// The indexes, in an instance's load reports, of the values that the dispatcher uses; `None` for a value
-/// that is not reported.
+/// Indexes of the values that the dispatcher uses in the load reports of an instance; `None` for a value that
+/// the reports do not contain.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LoadReportLayout {
     capacity_left: Option<usize>,
@@ -26,7 +26,7 @@
 }
 
 impl LoadReportLayout {
-    /// Returns the layout that an instance's settings describe.
+    /// Returns the layout that the settings of an instance describe.
     pub(crate) fn of(settings: &DeploymentSettings) -> LoadReportLayout {
         LoadReportLayout {
             capacity_left: settings.load_report_index(CAPACITY_LEFT_FIELD),
@@ -37,23 +37,25 @@
 
 /// The values of a load report that the dispatcher uses.
 struct LoadReport {
+    /// Unused fraction of the limit, 0 to 1.
     capacity_left: Option<f64>,
+    /// The limit in calls a second.
     rate_limit: Option<f64>,
 }
 
-/// The start of an instance.
+/// The seed and the settings with which an instance starts.
 pub(crate) struct InstanceStart {
     pub(crate) seed: u64,
     pub(crate) settings: DeploymentSettings,
 }
 
-/// A numbered list of endpoints.
+/// A numbered list of endpoints, to which later records refer by its number.
 pub(crate) struct NumberedList {
     pub(crate) number: u16,
     pub(crate) entries: Vec<Endpoint>,
 }
 
-/// Decodes an `INSTANCE_STARTED` record: the seed, and the settings as JSON.
+/// Decodes an `INSTANCE_STARTED` record: the seed and the settings, which are JSON.
 pub(crate) fn decode_instance_start(fields: &mut FieldReader) -> Result<InstanceStart, RecordError> {
     let seed = fields.u64()?;
     let length = fields.u32()?;
@@ -89,7 +91,7 @@
     Ok(Endpoint { id, destination, kind, zone, rate, status })
 }
 
-/// Decodes an `ENDPOINT_LIST` record; `lists` are the numbered lists that it may refer to.
+/// Decodes an `ENDPOINT_LIST` record; `lists` are the numbered lists defined so far.
 pub(crate) fn decode_endpoint_list(
     fields: &mut FieldReader,
     lists: &BTreeMap<u16, Vec<Endpoint>>,
@@ -176,7 +178,7 @@
     Ok(Event::Gossip { from, body })
 }
 
-/// Decodes an outcome; the meaning of `note` depends on it.
+/// Decodes an outcome from its code `status` and its note, whose meaning depends on the code.
 fn decode_outcome(status: u8, note: u32) -> Result<AttemptOutcome, RecordError> {
     match status {
         outcome::SERVED => Ok(AttemptOutcome::Served),
@@ -193,7 +195,7 @@
     }
 }
 
-/// Decodes the load report at the end of a record; it has no values when the record ends before it.
+/// Decodes the load report at the end of a record. It is optional: without it no value is reported.
 fn decode_load_report(fields: &mut FieldReader, layout: LoadReportLayout) -> Result<LoadReport, RecordError> {
     let count = if fields.is_empty() { 0 } else { fields.u8()? };
     let mut values = Vec::new();
--- a/bench-adapter/src/event/tests.rs
+++ b/bench-adapter/src/event/tests.rs
@@ -1,9 +1,9 @@
-//! Records as the description of the wire format has them, decoded.
+//! Decodes example records in the wire format.
 
 use super::*;
 use crate::tests::hex;
 
-/// Load reports begin with the capacity left and the rate limit.
+/// Layout of load reports that begin with the capacity left and the rate limit.
 const LAYOUT: LoadReportLayout = LoadReportLayout { capacity_left: Some(0), rate_limit: Some(1) };
 
 #[test]
--- a/bench-adapter/src/fields.rs
+++ b/bench-adapter/src/fields.rs
@@ -1,10 +1,10 @@
-//! Reading of little-endian fields, one after the other.
+//! Sequential reader of little-endian fields.
 //!
-//! Each method consumes the bytes that it returns; it fails and consumes nothing when too few remain.
+//! Each method consumes the bytes that it returns. If too few remain, it fails and consumes nothing.
 
 use crate::error::RecordError;
 
-/// Reads the fields of a record or of a header.
+/// Reads the fields of a record or of a header in order.
 pub(crate) struct FieldReader<'a> {
     unread: &'a [u8],
 }
@@ -14,7 +14,7 @@
         FieldReader { unread: bytes }
     }
 
-    /// Returns the number of bytes that have not been read.
+    /// Returns the number of bytes that are not read yet.
     pub(crate) fn remaining(&self) -> usize {
         self.unread.len()
     }
--- a/bench-adapter/src/frame.rs
+++ b/bench-adapter/src/frame.rs
@@ -1,26 +1,28 @@
-//! Framing: a batch of records is read, one reply is written.
+//! Framing of the wire format: the bounds of batches, records and replies, but not the content of records.
 //!
-//! It knows where batches, records and replies begin and end, and never what is in them.
+//! A batch is a header (number, record count, length), the clock time and the records. A record is a code, a
+//! length and its fields. A reply is a header (batch number, length) and the records of the actions. All
+//! integers are little-endian, and a length counts the bytes that follow it.
 
 use crate::error::{BatchError, RecordError};
 use crate::fields::FieldReader;
 use linnetcart::Time;
 use std::io::{self, Read};
 
-/// Size of a batch's header: number, record count and length, each 4 bytes.
+/// Size of a batch header: number, record count and length, 4 bytes each.
 const BATCH_HEADER_BYTES: usize = 12;
-/// Size of the clock time, the first field that the length covers.
+/// Size of the clock time, the first field that the length of a batch covers.
 const CLOCK_BYTES: usize = 8;
-/// Size of a reply's header: number of the batch and length, each 4 bytes.
+/// Size of a reply header: number of the batch and length, 4 bytes each.
 const REPLY_HEADER_BYTES: usize = 8;
 
 /// A batch of records.
 pub(crate) struct Batch {
     pub(crate) number: u32,
     pub(crate) record_count: u32,
-    /// Clock time of all its events, in nanoseconds.
+    /// Clock time of the decision cycles and all events of the batch, in nanoseconds.
     pub(crate) clock: Time,
-    /// The bytes of all records, one after the other.
+    /// The bytes of all records in order.
     pub(crate) records: Vec<u8>,
 }
 
@@ -30,7 +32,7 @@
     pub(crate) fields: &'a [u8],
 }
 
-/// Reads one batch; returns `None` when the input ends before it.
+/// Reads the next batch; returns `None` at the end of the input.
 pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, BatchError> {
     let Some(header) = read_header(input)? else { return Ok(None) };
     let mut fields = FieldReader::new(&header);
@@ -74,7 +76,7 @@
     Ok(Record { code, fields })
 }
 
-/// Returns the frame that answers a batch with these encoded actions.
+/// Encodes the reply to a batch; `actions` are the encoded records of its actions.
 pub(crate) fn encode_reply(batch: u32, actions: &[u8]) -> Vec<u8> {
     let mut reply = Vec::with_capacity(REPLY_HEADER_BYTES + actions.len());
     reply.extend(batch.to_le_bytes());
--- a/bench-adapter/src/host.rs
+++ b/bench-adapter/src/host.rs
@@ -1,7 +1,7 @@
-//! The running instances of this process, and how a batch is applied to them.
+//! Hosts the running instances and applies batches to them.
 //!
-//! It owns the instances, each with its own dispatcher, and the numbered lists of endpoints that they share.
-//! It never looks into the decisions.
+//! An instance is one courier of the bench, with its own dispatcher. All instances share the numbered lists
+//! of endpoints.
 
 use crate::action::encode_action;
 use crate::codes::event;
@@ -21,7 +21,7 @@
     load_report: LoadReportLayout,
 }
 
-/// The events of one batch by instance, and the order in which the instances first occur in it.
+/// The events of one batch by instance, with the instances in the order in which they first occur in it.
 #[derive(Default)]
 struct PendingEvents {
     order: Vec<u32>,
@@ -36,13 +36,13 @@
         self.events.entry(instance).or_default().push(event);
     }
 
-    /// Drops the events of an instance that is halted or started again; its position in the order stays.
+    /// Drops the events of an instance that is halted or started again; it keeps its position in the order.
     fn discard(&mut self, instance: u32) {
         self.events.remove(&instance);
     }
 }
 
-/// All instances of this process.
+/// All instances of this process by number, and the numbered lists of endpoints.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
@@ -50,14 +50,15 @@
 }
 
 impl Host {
-    /// Applies a batch, lets the instances decide, and returns the frame of the reply.
+    /// Applies a batch, runs the decision cycles of its instances, and returns the encoded reply.
     pub(crate) fn process(&mut self, batch: &Batch) -> Result<Vec<u8>, BatchError> {
         let pending = self.read_records(batch)?;
         let actions = self.decide(batch, pending);
         Ok(encode_reply(batch.number, &actions))
     }
 
-    /// Decodes all records of a batch; instances and lists change as they are read, events are collected.
+    /// Decodes all records of a batch in order. Changes of instances and lists apply at once; events are
+    /// collected for the decision cycles.
     fn read_records(&mut self, batch: &Batch) -> Result<PendingEvents, BatchError> {
         let mut pending = PendingEvents::default();
         let mut records = FieldReader::new(&batch.records);
@@ -76,7 +77,7 @@
         Ok(pending)
     }
 
-    /// Decodes one record and applies it or collects its event; records with an unknown code are skipped.
+    /// Decodes one record, and applies it or collects its event. Records with an unknown code are skipped.
     fn read_record(&mut self, record: &Record, pending: &mut PendingEvents) -> Result<(), RecordError> {
         let mut fields = FieldReader::new(record.fields);
         match record.code {
@@ -132,12 +133,12 @@
         }
     }
 
-    /// The layout of an instance's load reports; that without values for an instance that is not running.
+    /// Returns the layout of the load reports of an instance; an empty one if the instance is not running.
     fn load_report(&self, instance: u32) -> LoadReportLayout {
         self.instances.get(&instance).map(|running| running.load_report).unwrap_or_default()
     }
 
-    /// Runs one decision cycle of each instance with events; returns the encoded actions of all of them.
+    /// Runs one decision cycle for each instance that has events, and returns all encoded actions.
     fn decide(&mut self, batch: &Batch, mut pending: PendingEvents) -> Vec<u8> {
         let mut actions = Vec::new();
         for number in pending.order {
@@ -151,7 +152,7 @@
     }
 }
 
-/// The kinds of record that become an event of one instance.
+/// Kinds of record that are decoded into an event of one instance.
 #[derive(Clone, Copy)]
 enum InstanceEvent {
     EndpointList,
@@ -165,7 +166,7 @@
 }
 
 impl InstanceEvent {
-    /// Returns the kind of record of a code, or `None` for any other code.
+    /// Returns the kind of a record code, or `None` for any other code.
     fn from_code(code: u8) -> Option<InstanceEvent> {
         match code {
             event::ENDPOINT_LIST => Some(InstanceEvent::EndpointList),
--- a/bench-adapter/src/main.rs
+++ b/bench-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Runs the decision library of linnetcart behind framed batches on standard input and output.
+//! Bench adapter: runs the decision library of linnetcart for another program, the bench, over standard input
+//! and output.
 //!
-//! The adapter decodes batches of records into the dispatcher's events, and encodes its actions as replies.
-//! It never decides anything and reads no clock: the time comes with each batch.
+//! The bench sends framed batches of binary records. The adapter decodes them into the dispatcher's events,
+//! and encodes its actions as the reply. It makes no decisions and reads no clock: each batch has its time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,7 +19,7 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
-/// Size of the buffers of standard input and output.
+/// Size of each buffer of standard input and output.
 const PIPE_BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Answers batches, one after the other, until the input ends.
+/// Reads batches and writes one reply to each, in order, until the input ends.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), BatchError> {
     let mut host = Host::default();
     while let Some(batch) = frame::read_batch(input)? {
--- a/bench-adapter/src/tests.rs
+++ b/bench-adapter/src/tests.rs
@@ -1,18 +1,18 @@
-//! Complete batches through the adapter. Record codes are written as numbers here, as the wire format has
-//! them.
+//! Processes complete batches. The records are built with the numeric codes of the wire format, so that a
+//! change of the constants in the code is noticed.
 
 use crate::error::BatchError;
 use crate::frame::read_batch;
 use crate::host::Host;
 
-/// The settings of an instance, as the bench sends them.
+/// Settings of an instance, in the form in which the bench sends them.
 const SETTINGS: &str = r#"{"balancers":1,"services":[{"idempotency":"pure","slo_ns":3000000000,
     "hard_limit_ns":9000000000,"worth":1.0}],"kinds":["a"],"family_info":{"max_calls":4,"kind_apart":[false],
     "per_call":[1]},"bounds":{"max_open":9,"max_attempts":4},"contract":{},"prices":{},"news":1,
     "tick_ns":5000000}"#;
 const DESTINATION: u16 = 57;
 
-/// Parses bytes in hexadecimal; other characters are ignored.
+/// Parses hexadecimal bytes; ignores all other characters.
 pub(crate) fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
@@ -45,7 +45,7 @@
     record(100, &instance.to_le_bytes())
 }
 
-/// A numbered list with one endpoint, which is ready.
+/// Builds the record of a numbered list with one endpoint, which is ready.
 fn numbered_list(number: u16, endpoint: u32) -> Vec<u8> {
     let mut fields = number.to_le_bytes().to_vec();
     fields.extend(1u32.to_le_bytes());
