--- a/crates/courier-common/src/idle_reuse.rs
+++ b/crates/courier-common/src/idle_reuse.rs
@@ -1,19 +1,18 @@
-//! Policies on the reuse of connections that have been idle.
+//! Policies that decide whether an idle connection is reused for the next call.
 //!
-//! Endpoints and middleboxes drop idle connections long before the stated idle timeout, not always visibly.
-//! The next call on such a connection is lost, and with it a message that must not be executed twice. Both
-//! policies guard against idle timeouts shorter than stated, middleboxes that forget flows, and unannounced
-//! restarts. Their cost: after losses that happened by chance, connections are established without need.
+//! Endpoints and middleboxes may drop idle connections long before the stated idle timeout, and not always
+//! visibly. The next call on such a connection is lost, and so is its message if it must not be executed
+//! twice. Both policies guard against idle timeouts shorter than stated, middleboxes that forget flows, and
+//! unannounced restarts. Their cost is that chance losses cause new connections that are not needed.
 //!
-//! There are two policies because the fronts see different evidence; a common policy would change the
+//! There are two policies because the fronts observe different evidence; a common policy would change the
 //! behaviour of one of them:
 //!
-//! - [`MaxIdlePolicy`], Kafka front: several calls share a connection and a lost one is rare, so a single
-//!   loss halves the longest idle time that is accepted, for all endpoints. It yields a bound by which idle
-//!   connections close.
-//! - [`LossRatePolicy`], platform front: one call at a time on a connection, with frequent losses where the
-//!   network resets connections at random. It compares the loss rates of idle connections with that of new
-//!   ones; where both lose calls under load, the idle time is not the cause.
+//! - [`MaxIdlePolicy`], Kafka front: several calls share a connection and losses are rare. A single loss
+//!   halves the maximum idle time for all endpoints; idle connections are closed when they reach it.
+//! - [`LossRatePolicy`], platform front: a connection carries one call at a time, and losses are frequent
+//!   where the network resets connections at random. The policy compares the loss rate of idle connections
+//!   with that of new ones: where both lose calls under load, the idle time is not the cause.
 
 mod loss_rate;
 mod max_idle;
--- a/crates/courier-common/src/idle_reuse/loss_rate.rs
+++ b/crates/courier-common/src/idle_reuse/loss_rate.rs
@@ -1,19 +1,19 @@
-//! Loss rates by idle time, compared with that of new connections.
+//! Loss rates of calls by the idle time of their connection, compared with the loss rate on new connections.
 
 use linnetcart::Time;
 
 const MILLISECOND: Time = 1_000_000;
-/// Idle times below this share the first bucket; each further bucket is twice as wide.
+/// Width of the first bucket of idle times, in nanoseconds; each further bucket is twice as wide.
 const FIRST_BUCKET_WIDTH: Time = 32 * MILLISECOND;
 /// Number of idle-time buckets; the last one has no upper end.
 const IDLE_BUCKETS: usize = 10;
-/// The prior of each bucket: this number of calls,
+/// Number of calls in the prior of each bucket, so that a few calls do not decide the rate.
 const PRIOR_CALLS: f64 = 10.0;
-/// of which this fraction was lost.
+/// Fraction of the calls in the prior that count as lost.
 const PRIOR_LOSS_RATE: f64 = 0.02;
-/// Reuse saves the time of a connect, which justifies this much additional loss rate.
+/// Loss rate by which an idle connection may exceed a new one, because reuse saves the connect time.
 const LOSS_RATE_MARGIN: f64 = 0.03;
-/// Half of the evidence decays in this time.
+/// Half-life of the counted calls and losses, in nanoseconds.
 const HALF_LIFE: Time = 10_000 * MILLISECOND;
 
 /// Whether a call got an answer on its connection.
@@ -25,11 +25,12 @@
     Lost,
 }
 
-/// Numbers of calls and lost calls, both decaying with time.
+/// Counts of calls and of lost calls, both with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingLossRate {
     calls: f64,
     lost: f64,
+    /// Clock time up to which the decay is applied, in nanoseconds.
     updated_at: Time,
 }
 
@@ -50,29 +51,33 @@
         }
     }
 
+    /// Returns the estimated loss rate, 0 to 1:
+    /// `(lost + PRIOR_CALLS * PRIOR_LOSS_RATE) / (calls + PRIOR_CALLS)`.
     fn rate(mut self, now: Time) -> f64 {
         self.decay(now);
         (self.lost + PRIOR_CALLS * PRIOR_LOSS_RATE) / (self.calls + PRIOR_CALLS)
     }
 }
 
-/// Allows the reuse of idle connections as long as they lose no more calls than new ones do.
+/// Allows the reuse of an idle connection unless such connections lose clearly more calls than new ones do.
 ///
-/// Loss rates are counted by idle time, in buckets of doubling width, and for the first calls on new
-/// connections: where connections are reset at random, a new one is no better.
+/// The loss rate is estimated for each bucket of idle times, and for the first calls on new connections. The
+/// comparison matters where connections are reset at random: there a new one is no better.
 #[derive(Debug, Default)]
 pub struct LossRatePolicy {
     new_connections: DecayingLossRate,
+    /// By bucket of idle time; see [`bucket`].
     idle_connections: [DecayingLossRate; IDLE_BUCKETS],
 }
 
+/// Returns the bucket of an idle time: bucket `n` begins at `(2^n - 1) * FIRST_BUCKET_WIDTH`.
 fn bucket(idle: Time) -> usize {
     ((idle / FIRST_BUCKET_WIDTH + 1).ilog2() as usize).min(IDLE_BUCKETS - 1)
 }
 
 impl LossRatePolicy {
-    /// Records the result of a call. `idle` is how long its connection had been idle before, or `None` for a
-    /// new connection.
+    /// Records the result of a call at clock time `now`. `idle` is the idle time of its connection before the
+    /// call, in nanoseconds, or `None` for a new connection.
     pub fn record_call(&mut self, now: Time, idle: Option<Time>, result: CallResult) {
         match idle {
             Some(idle) => self.idle_connections[bucket(idle)].record(now, result),
@@ -80,7 +85,8 @@
         }
     }
 
-    /// Whether a connection that has been idle for this long is expected to be as good as a new one.
+    /// Whether a connection that has been idle for `idle` nanoseconds may be reused: its expected loss rate
+    /// exceeds that of a new connection by a small margin at most.
     pub fn may_reuse(&self, now: Time, idle: Time) -> bool {
         let idle_loss_rate = self.idle_connections[bucket(idle)].rate(now);
         idle_loss_rate <= self.new_connections.rate(now) + LOSS_RATE_MARGIN
--- a/crates/courier-common/src/idle_reuse/max_idle.rs
+++ b/crates/courier-common/src/idle_reuse/max_idle.rs
@@ -1,26 +1,31 @@
-//! A single maximum of the idle time, halved by a loss and doubled by time.
+//! One maximum idle time for all connections, halved by a loss and doubled by time without losses.
 
 use linnetcart::Time;
 
-/// The maximum idle time after which a connection may be reused.
+/// Maximum time for which a connection may be idle and still be reused.
 ///
-/// The evidence is a connection that is lost, or silent while its endpoint answers others, under the first
-/// call after an idle period: from then on, connections are reused after at most half of that idle time.
-/// Without further evidence the maximum doubles with each full idle timeout that passes, up to that timeout.
+/// A loss is a connection that breaks on the first call after an idle period, or stays silent on it while its
+/// endpoint answers other calls. It sets the maximum to half of that idle time, or to half of the present
+/// maximum if that is shorter. Without further losses the maximum doubles each time a full `idle_timeout` has
+/// passed, up to `idle_timeout`.
 #[derive(Clone, Copy, Debug)]
 pub struct MaxIdlePolicy {
+    /// Time in nanoseconds after which idle connections are closed in any case.
     idle_timeout: Time,
+    /// Maximum idle time at `last_loss`, in nanoseconds.
     max_idle: Time,
+    /// Clock time of the last loss in nanoseconds; 0 before the first.
     last_loss: Time,
 }
 
 impl MaxIdlePolicy {
-    /// Creates a policy whose maximum is the timeout after which idle connections are closed in any case.
+    /// Creates a policy whose initial maximum is `idle_timeout`, the time in nanoseconds after which idle
+    /// connections are closed in any case.
     pub fn new(idle_timeout: Time) -> Self {
         MaxIdlePolicy { idle_timeout, max_idle: idle_timeout, last_loss: 0 }
     }
 
-    /// Returns the maximum idle time at `now`, in nanoseconds.
+    /// Returns the maximum idle time at clock time `now`, in nanoseconds.
     pub fn max_idle(&self, now: Time) -> Time {
         let since_loss = now.saturating_sub(self.last_loss);
         let doublings = (since_loss / self.idle_timeout.max(1)).min(63) as u32;
@@ -30,7 +35,8 @@
         }
     }
 
-    /// Records the loss of a call on a connection that had been idle for `idle` nanoseconds.
+    /// Records that a call was lost at clock time `now` on a connection that had been idle for `idle`
+    /// nanoseconds.
     pub fn record_loss(&mut self, now: Time, idle: Time) {
         self.max_idle = self.max_idle(now).min(idle) / 2;
         self.last_loss = now;
--- a/crates/courier-common/src/lib.rs
+++ b/crates/courier-common/src/lib.rs
@@ -1,7 +1,7 @@
 //! Code that both fronts of the courier share: the Kafka front (`linnetcart-edge`) and the platform front
 //! (`linnetcart-platform`).
 //!
-//! It performs no I/O: callers pass clock readings in. It never decides where a message is sent.
+//! The crate performs no I/O and reads no clock: callers pass clock times in.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
--- a/crates/courier-common/src/limit_log.rs
+++ b/crates/courier-common/src/limit_log.rs
@@ -1,8 +1,8 @@
-//! The log line for a change of a limit's state, the same in both fronts.
+//! Log line for a change of the health of a limit, shared by both fronts.
 
 use linnetcart::LimitChange;
 
-/// Logs a change of a limit's state, with the evidence that led to it.
+/// Logs that a limit changed its state, with the evidence for the change if there is any.
 pub fn log_limit_change(change: &LimitChange) {
     let evidence = change.evidence;
     tracing::info!(
--- a/crates/courier-common/src/message_numbers.rs
+++ b/crates/courier-common/src/message_numbers.rs
@@ -1,20 +1,21 @@
-//! Message numbers for the decision library: 32 bits wide and never used by two messages at a time.
+//! Allocation of the 32-bit message numbers by which the decision library identifies messages.
 
-/// Allocates message numbers. After 2^32 messages it starts again and skips every number that is in use, so
-/// that an event about a message never refers to another one.
+/// Allocates message numbers in ascending order. After `u32::MAX` it continues at 0 and skips every number in
+/// use, so that two messages in flight never have the same number.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageNumbers {
+    /// The next number to try.
     next: u32,
 }
 
 impl MessageNumbers {
-    /// Creates an allocator whose first number is `next`.
+    /// Creates an allocator that begins with the number `next`.
     pub fn starting_at(next: u32) -> Self {
         MessageNumbers { next }
     }
 
-    /// Returns a number for which `in_use` is false. It does not return while all 2^32 numbers are in use;
-    /// the bound on messages in flight rules that out.
+    /// Returns the next number for which `in_use` is false. It would loop forever with all 2^32 numbers in
+    /// use, which the bound on messages in flight rules out.
     pub fn allocate(&mut self, in_use: impl Fn(u32) -> bool) -> u32 {
         loop {
             let number = self.next;
--- a/crates/delivery-events/src/lib.rs
+++ b/crates/delivery-events/src/lib.rs
@@ -1,7 +1,7 @@
 //! Delivery events of a courier's core: typed records of what happened to messages, attempts and limits.
 //!
-//! Telemetry, journal, audit and conformance checks consume these events and nothing else of the core. The
-//! crate defines values only. It never makes decisions and never performs I/O.
+//! The events are the only interface of the core for telemetry, journal, audit and conformance checks. The
+//! crate defines plain values and performs no I/O.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
@@ -18,7 +18,7 @@
         /// How long to wait before submitting again, in nanoseconds; 0 if not stated.
         retry_after: Time,
     },
-    /// The courier gave up; the message may have taken effect.
+    /// The courier gave up; the message may or may not have been executed.
     Failed,
 }
 
@@ -34,13 +34,13 @@
 /// The load report of an endpoint, as carried by a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Unused fraction of the limit.
+    /// Unused fraction of the limit, 0 to 1.
     pub capacity_left: f64,
-    /// The limit in calls per second; 0 if there is none.
+    /// The limit in calls a second over all couriers; 0 if there is none.
     pub rate_limit: f64,
 }
 
-/// An event, which happened at the clock time of the event-loop iteration that reports it.
+/// An event. Its clock time is that of the event-loop iteration that reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DeliveryEvent {
     /// A message was accepted.
@@ -53,7 +53,7 @@
         class: u8,
         /// Destination of the message.
         destination: u32,
-        /// Time by which the message must have its final answer.
+        /// Clock time by which the message must have its final answer, in nanoseconds.
         deadline: Time,
     },
     /// A message was rejected before it was accepted.
@@ -69,7 +69,7 @@
     AttemptStarted {
         /// Number of the message in this process.
         message: u32,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt, counted from 0 for each message.
         attempt: u16,
         /// Class of the message.
         class: u8,
@@ -77,14 +77,14 @@
         destination: u32,
         /// Endpoint of the attempt.
         endpoint: u32,
-        /// Whether another attempt of the message is in flight.
+        /// Whether it is a hedge: another attempt of the message is in flight.
         hedge: bool,
     },
     /// An attempt finished.
     AttemptFinished {
         /// Number of the message in this process.
         message: u32,
-        /// Number of the attempt.
+        /// Number of the attempt, counted from 0 for each message.
         attempt: u16,
         /// Class of the message.
         class: u8,
@@ -94,7 +94,7 @@
         endpoint: u32,
         /// Outcome of the attempt.
         outcome: AttemptOutcome,
-        /// Duration of the attempt, in nanoseconds.
+        /// Time from sending to the outcome, in nanoseconds.
         elapsed: Time,
         /// Load report of the endpoint, if the response carried one.
         load: Option<LoadReport>,
--- a/crates/deployment-settings/src/error.rs
+++ b/crates/deployment-settings/src/error.rs
@@ -1,14 +1,15 @@
-//! Errors in a settings object.
+//! Error type for settings objects.
 
 /// Why a settings object cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A class of messages does not say whether a message may be attempted again.
+    /// The idempotency of a message class is missing or unknown, so it is open whether its messages may be
+    /// retried.
     #[error("services[{class}].idempotency is {found}; `pure`, `token` or `side_effect` is expected")]
     UnknownIdempotency {
-        /// Index of the class.
+        /// Index of the class in `services`.
         class: usize,
-        /// The value of the field, as JSON.
+        /// The value found, as JSON text.
         found: String,
     },
 }
--- a/crates/deployment-settings/src/json.rs
+++ b/crates/deployment-settings/src/json.rs
@@ -1,7 +1,8 @@
-//! Accessors for JSON values. A value that is absent or has another type reads as zero, false or empty.
+//! Lenient accessors for JSON values. An absent value or one of another type reads as zero, false or empty.
 
 use serde_json::Value;
 
+/// Returns an integer; a number with a fraction is rounded toward zero, a negative one reads as zero.
 pub(crate) fn integer(value: &Value) -> u64 {
     if let Some(integer) = value.as_u64() {
         return integer;
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -1,9 +1,8 @@
-//! Reads the settings object of a deployment, in the form that the bench's wire protocol and the platform's
-//! configuration share.
+//! Parses the settings object of a deployment: JSON, in the format that the bench's wire protocol and the
+//! platform's configuration share.
 //!
 //! An absent value reads as zero, as the wire protocol specifies. Unknown fields are ignored, because
-//! deployments differ in what they have. This crate decides nothing and never checks one value against
-//! another.
+//! deployments differ in the fields that they have. Values are not checked against each other.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
@@ -17,14 +16,14 @@
 use linnetcart::Settings;
 use serde_json::Value;
 
-/// Name of the load report's value for the fraction of the limit that is still available.
+/// Name of the value in a load report that is the unused fraction of the limit, 0 to 1.
 pub const CAPACITY_LEFT_FIELD: &str = "x0";
-/// Name of the load report's value for the limit, in calls per second.
+/// Name of the value in a load report that is the limit, in calls a second over all couriers.
 pub const RATE_LIMIT_FIELD: &str = "x1";
 
-/// Name of the field that lists the classes of messages.
+/// Name of the field with the list of message classes.
 const SERVICES: &str = "services";
-/// Name of the field that lists the kinds of destination.
+/// Name of the field with the list of destination kinds.
 const KINDS: &str = "kinds";
 
 /// The settings of a deployment.
@@ -32,18 +31,18 @@
 pub struct DeploymentSettings {
     /// Settings of the decision library.
     pub settings: Settings,
-    /// Names of the classes of messages, by index.
+    /// Names of the message classes; a class is identified by its index.
     pub class_names: Vec<String>,
-    /// Names of the kinds of destination, by index.
+    /// Names of the destination kinds; a kind is identified by its index.
     pub kind_names: Vec<String>,
-    /// Names of the zones, by index.
+    /// Names of the zones; a zone is identified by its index.
     pub zone_names: Vec<String>,
-    /// Names of the values in an answer's load report, in the order of the report.
+    /// Names of the values in the load report of an answer, in the order in which the report has them.
     pub load_report_fields: Vec<String>,
 }
 
 impl DeploymentSettings {
-    /// Reads a settings object.
+    /// Parses a settings object. Fails if the idempotency of a class is missing or unknown.
     pub fn read(object: &Value) -> Result<DeploymentSettings, SettingsError> {
         let class_name = |service: &Value| text(&service["name"]);
         Ok(DeploymentSettings {
@@ -55,7 +54,7 @@
         })
     }
 
-    /// Returns the position of a value in the load reports, or `None` if they do not contain it.
+    /// Returns the index of a named value in the load reports, or `None` if they do not contain it.
     pub fn load_report_index(&self, name: &str) -> Option<usize> {
         self.load_report_fields.iter().position(|field| field == name)
     }
--- a/crates/deployment-settings/src/settings.rs
+++ b/crates/deployment-settings/src/settings.rs
@@ -1,15 +1,15 @@
-//! The part of the settings object that the decision library uses.
+//! Converts a settings object to the [`Settings`] of the decision library.
 //!
-//! Each function reads one part of the object and sets the settings that it contains.
+//! Each function reads one part of the object and sets the fields that this part determines.
 
 use crate::json::{flag, integer, list, number, numbers};
 use crate::{SettingsError, KINDS, SERVICES};
 use linnetcart::{Class, DestinationKind, Idempotency, RateAccuracy, Settings};
 use serde_json::Value;
 
-/// Name of the field that says whether messages of a class may be attempted again.
+/// Name of the field with the idempotency of a class, which decides whether its messages may be retried.
 const IDEMPOTENCY: &str = "idempotency";
-/// Number of messages in a call to a kind of destination for which the object gives none.
+/// Most messages per call for a kind of destination that has no entry in `per_call`.
 const DEFAULT_MESSAGES_PER_CALL: u64 = 1;
 
 pub(crate) fn read(object: &Value) -> Result<Settings, SettingsError> {
@@ -78,7 +78,8 @@
     settings.route_fees = numbers(&family["route_fee"]);
 }
 
-/// Reads all kinds that are named or have an entry in one of the lists.
+/// Reads the destination kinds. Their number is the greatest length of the three lists: names, `kind_apart`
+/// and `per_call`.
 fn read_kinds(family: &Value, named_kinds: usize) -> Vec<DestinationKind> {
     let independent_routes = list(&family["kind_apart"]);
     let messages_per_call = list(&family["per_call"]);
--- a/crates/deployment-settings/tests/settings.rs
+++ b/crates/deployment-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Values that are read from a settings object, and its errors.
+//! Parsing of settings objects: values, defaults and errors.
 
 use linnetcart::{Class, DestinationKind, Idempotency, RateAccuracy, Settings};
 use linnetcart_deployment_settings::{
@@ -39,7 +39,7 @@
     assert!(text.contains("services[1]") && text.contains("odd"), "{text}");
 }
 
-/// Returns an object with a different value in each field.
+/// Returns an object that sets every setting, with all numbers different so that a mixed-up field shows.
 fn full_object() -> Value {
     json!({
         "balancers": 3, "me": 2, "my_zone": 1, "tick_ns": 4, "registry_mode": "ask", "weight_source": "rough",
