--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -54,7 +54,7 @@
             self.give_up(message, self.settings.max_retry_after);
         }
         let destination = self.state.destinations.get_mut(destination)?;
-        destination.count_waiting(&mut self.state.endpoints);
+        destination.update_waiting_messages(&mut self.state.endpoints);
         for message in destination.queue.heads() {
             match self.choose_endpoint(message, None) {
                 Ok(endpoint) => {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -27,7 +27,7 @@
         let slots_wanted = self.is_short_of_slots(0);
         let mut to_cancel = Vec::new();
         for attempt in overdue.attempts {
-            let Some(silence) = self.state.silence(&attempt) else { continue };
+            let Some(silence) = self.state.check_silence(&attempt) else { continue };
             self.record_silence(&attempt, silence);
             if self.should_cancel(&attempt, silence, slots_wanted) {
                 to_cancel.push(attempt);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -127,7 +127,7 @@
             limiter.record_outcome(sent_at, outcome, chance, context.for_destination());
         }
         if std::mem::discriminant(&before) != std::mem::discriminant(&limiter.circuit) {
-            let change = limiter.change(id, result.endpoint, outcome);
+            let change = limiter.describe_change(id, result.endpoint, outcome);
             self.actions.push(Action::LimitChanged(change));
         }
     }
--- a/src/state/deadline_index.rs
+++ b/src/state/deadline_index.rs
@@ -97,8 +97,8 @@
 }
 
 impl DeadlineIndex {
-    /// Changes a group, and its entry in the order of groups if its first deadline changed.
-    fn change(&mut self, group: AttemptGroup, change: impl FnOnce(&mut GroupEntry)) {
+    /// Applies `change` to a group, and moves the group in the order of groups if its first deadline changed.
+    fn update_group(&mut self, group: AttemptGroup, change: impl FnOnce(&mut GroupEntry)) {
         let entry = self.groups.entry(group).or_default();
         let before = entry.first_due_at();
         change(entry);
@@ -119,7 +119,7 @@
 
     /// Adds an attempt to a group and sets the span of the whole group to `span` nanoseconds.
     pub(crate) fn insert(&mut self, group: AttemptGroup, span: Time, attempt: SentAttempt) {
-        self.change(group, |entry| {
+        self.update_group(group, |entry| {
             entry.attempts.insert(attempt);
             entry.span = span;
         });
@@ -127,7 +127,7 @@
 
     /// Removes an attempt from a group.
     pub(crate) fn remove(&mut self, group: AttemptGroup, attempt: SentAttempt) {
-        self.change(group, |entry| {
+        self.update_group(group, |entry| {
             entry.attempts.remove(&attempt);
         });
     }
@@ -135,7 +135,7 @@
     /// Sets the span of a group, in nanoseconds; a group without attempts is ignored.
     pub(crate) fn set_span(&mut self, group: AttemptGroup, span: Time) {
         if self.groups.get(&group).is_some_and(|entry| entry.span != span) {
-            self.change(group, |entry| entry.span = span);
+            self.update_group(group, |entry| entry.span = span);
         }
     }
 
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -29,8 +29,8 @@
     pub(crate) local_backoff: Time,
     /// Clock time before which no attempt is made because of `local_backoff`, in nanoseconds.
     pub(crate) local_backoff_until: Time,
-    /// Tokens in the retry budget: served calls add to them, failed ones cost more. Retries and hedges need
-    /// a minimum of tokens.
+    /// Tokens in the retry budget: a served call adds one, any other call costs several, and retries and
+    /// hedges need a minimum.
     pub(crate) retry_tokens: f64,
     /// Latencies of its last served calls.
     pub(crate) latencies: LatencySamples,
@@ -100,7 +100,7 @@
 
     /// Copies the number of waiting messages to its limiter and to the limiter of each endpoint, as each
     /// endpoint could serve all of them.
-    pub(crate) fn count_waiting(&mut self, endpoints: &mut Table<EndpointState>) {
+    pub(crate) fn update_waiting_messages(&mut self, endpoints: &mut Table<EndpointState>) {
         self.limiter.waiting_messages = self.queue.len() as f64;
         for &id in &self.endpoints {
             if let Some(endpoint) = endpoints.get_mut(id) {
--- a/src/state/dispatch_state/attempts.rs
+++ b/src/state/dispatch_state/attempts.rs
@@ -104,7 +104,7 @@
 
     /// Checks whether the endpoint and the destination of an overdue attempt have answered since it was sent.
     /// Returns `None` when the attempt is not in flight or one of them is unknown.
-    pub(crate) fn silence(&self, overdue: &DueAttempt) -> Option<Silence> {
+    pub(crate) fn check_silence(&self, overdue: &DueAttempt) -> Option<Silence> {
         let endpoint = self.attempts.get(overdue.id())?.endpoint;
         let message = self.messages.get(&overdue.message)?;
         let destination = self.destinations.get(message.destination)?;
--- a/src/state/dispatch_state/messages.rs
+++ b/src/state/dispatch_state/messages.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Returns the destinations with waiting messages, the least recently served first (fair scheduling).
+    /// Returns the destinations with waiting messages, the one with the least recent send first, so that
+    /// dispatch serves them round robin.
     pub(crate) fn waiting_by_last_send(&self) -> Vec<u32> {
         let mut waiting: Vec<u32> = self.wait_queue.destinations.iter().copied().collect();
         waiting.sort_by_key(|&id| self.destinations[id].last_sent_at);
--- a/src/state/limiter.rs
+++ b/src/state/limiter.rs
@@ -13,7 +13,7 @@
 pub(crate) struct LimitContext<'a> {
     /// Clock time of the decision cycle, in nanoseconds.
     pub(crate) now: Time,
-    /// What the limiter limits.
+    /// Whether the limiter is that of a limit or of one endpoint under a shared limit.
     pub(crate) scope: LimitScope,
     pub(crate) settings: &'a Settings,
 }
@@ -33,7 +33,8 @@
 /// State of the circuit breaker of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum CircuitState {
-    /// Healthy: the fair-share rate applies, if the rate is bounded at all.
+    /// Healthy, or with too few failures to be ejected: calls are sent, at most at the fair-share rate if the
+    /// limit is enforced, and more slowly after a failure.
     #[default]
     Closed,
     /// Ejected at clock time `since`: only recovery trials are sent. `confirmed` is true once a call has
@@ -145,7 +146,7 @@
     /// as an answer too.
     pub(crate) last_answer_at: Time,
     pub(crate) served: ServedCounts,
-    /// Number of messages that wait at this courier for the destination of the limit.
+    /// Number of messages that wait at this courier for the destination of the limit, as last counted.
     pub(crate) waiting_messages: f64,
     pub(crate) report: LimitReport,
     /// Whether a call was rejected as above the limit and none has been served since.
@@ -202,7 +203,12 @@
     }
 
     /// Describes the present state of the limit for the log and metrics, with the outcome that led to it.
-    pub(crate) fn change(&self, destination: u32, endpoint: u32, outcome: AttemptOutcome) -> LimitChange {
+    pub(crate) fn describe_change(
+        &self,
+        destination: u32,
+        endpoint: u32,
+        outcome: AttemptOutcome,
+    ) -> LimitChange {
         let state = match self.circuit {
             CircuitState::Closed => LimitState::Healthy,
             CircuitState::Open { .. } => LimitState::Ejected,
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -51,7 +51,8 @@
     pub(crate) queue_state: Option<QueueState>,
     /// Time from which it may no longer be retried; `None` while it does not wait or has no such time.
     pub(crate) retry_expiry: Option<Time>,
-    /// Its attempt in flight, if there is exactly one and it is not cancelled: the candidate for a hedge.
+    /// Its entry in the hedge index: its only attempt in flight, unless that is cancelled or the message has
+    /// its final answer.
     pub(crate) lone_attempt: Option<SentAttempt>,
     /// Set only for a recovered message that was certainly not executed before the recovery. It equals
     /// `attempts` unless an attempt since the recovery is in flight or may have reached an endpoint.
@@ -116,7 +117,8 @@
         self.uncalled_attempts == Some(self.attempts)
     }
 
-    /// Records that one of its attempts was certainly not executed. Of these outcomes, only
+    /// Records that one of its attempts was certainly not executed: removes it from `possibly_executed`,
+    /// counts it if it was a local fault, and updates `uncalled_attempts`. Of these outcomes, only
     /// [`AttemptOutcome::Rejected`] shows that the attempt reached an endpoint.
     pub(crate) fn record_not_executed(&mut self, attempt: u16, outcome: AttemptOutcome) {
         self.possibly_executed.retain(|execution| execution.attempt != attempt);
