--- a/bench-adapter/src/event/tests.rs
+++ b/bench-adapter/src/event/tests.rs
@@ -36,8 +36,8 @@
         (AttemptOutcome::Served, 18_500_000, true)
     );
     assert_eq!((result.capacity_left, result.rate_limit), (Some(f64::from(0.4f32)), Some(1.25)));
-    let unnamed = decode(LoadReportLayout::default());
-    assert_eq!((unnamed.capacity_left, unnamed.rate_limit), (None, None));
+    let without_layout = decode(LoadReportLayout::default());
+    assert_eq!((without_layout.capacity_left, without_layout.rate_limit), (None, None));
 }
 
 #[test]
