--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,31 +1,33 @@
-//! The courier without its sockets, files and clock.
+//! The courier's protocol and delivery logic as a state machine free of I/O: it opens no socket or file and
+//! reads no clock. The shell passes in received bytes, connection events and the time, and executes the
+//! outputs.
 //!
 //! Any number of inputs may be given before [`Core::process`], which is one iteration of the event loop: it
-//! passes all events to the decision library at once and executes the actions that the library returns. The
-//! shell then tries to write the records of the iteration and reports the result ([`Core::records_written`] or
-//! [`Core::records_not_written`]) before it takes the outputs.
+//! passes all queued events to the decision library at once and executes the actions that the library
+//! returns. The shell then tries to append the iteration's records to the journal and reports the result
+//! ([`Core::records_written`] or [`Core::records_not_written`]) before it takes the outputs (write-ahead
+//! logging).
 //!
-//! The core determines the order in which its parts are processed. Each part owns its state and every
-//! transition of that state:
+//! Each part of the core owns its state and every transition of that state:
 //!
 //! | part | owns |
 //! | --- | --- |
 //! | `client_connections` | connections of clients and their timeouts |
-//! | `admission`, `request` | parsing and validation of requests, requests that wait for a decision |
-//! | `in_flight` | messages in flight, their deadlines and their bytes in the journal |
-//! | `deduplication` | ids of completed messages until their deadline |
+//! | `admission`, `request` | parsing and validation of requests, clients whose message is not decided yet |
+//! | `in_flight` | messages in flight, their deadlines and their size in the journal |
+//! | `deduplication` | ids of completed messages, each until its message's deadline |
 //! | `attempts` | attempts in flight, cooldowns of ordering keys |
-//! | `connection_pool` | connections to endpoints: connecting, in use, idle, abandoned, closed |
-//! | `discovery` | watch, versions, backoff, endpoint list |
+//! | `connection_pool` | connections to endpoints: connecting, in use, idle or abandoned |
+//! | `discovery` | the watch on the endpoint list, its version and reconnect backoff, the list |
 //! | `status_notifier` | unacknowledged notifications, batches, retries |
-//! | `decisions` | the decision library, the events for it, the time of its next decision |
-//! | `shutdown` | the phases of the shutdown and what ends each |
-//! | `recovery` | the conversion of records to state and back |
+//! | `decisions` | the decision library, the events queued for it, the time of its next wake-up |
+//! | `shutdown` | the phases of the graceful shutdown and their time limits |
+//! | `recovery` | restoring the state from the journal, and the snapshot for a new journal file |
 //!
-//! The flow between the parts is in `inputs` and `iteration` (what arrives, and the order of one iteration),
-//! `submission` (requests to decisions), `delivery` (decisions to ends of attempts), `completion` (final
-//! outcomes), `discovery_traffic` (the watch and status notifications) and `unrecorded` (what is undone when the
-//! journal cannot be written).
+//! These modules connect the parts: `inputs` (events from the shell), `iteration` (the order of steps in one
+//! iteration), `submission` (from a client's request to the response), `delivery` (from a decision to the
+//! outcome of an attempt), `completion` (final outcomes of messages), `discovery_traffic` (the watch and
+//! status notifications) and `unrecorded` (undoing effects whose records could not be written).
 
 mod admission;
 mod attempts;
@@ -79,8 +81,8 @@
 use shutdown::{Phase, Shutdown};
 use status_notifier::StatusNotifier;
 
-/// File descriptors that are neither clients' nor endpoints': listener, event loop, signals, discovery,
-/// journal, logs.
+/// File descriptors reserved for everything but connections of clients and to endpoints: listener, event
+/// loop, signals, discovery, journal and logs.
 const RESERVED_FILE_DESCRIPTORS: usize = 24;
 
 /// Whether records can be written to the journal.
@@ -88,11 +90,11 @@
 enum JournalState {
     /// Records can be written.
     Writable,
-    /// No record can be written: nothing may begin that depends on one.
+    /// No record can be written: no message is accepted, and no attempt is sent that needs a record.
     Unwritable,
 }
 
-/// How many connections the process may have.
+/// Maximum numbers of connections that the process opens.
 struct ConnectionLimits {
     /// Connections of clients.
     clients: usize,
@@ -101,7 +103,7 @@
 }
 
 impl ConnectionLimits {
-    /// Divides the file descriptors that are left for connections evenly.
+    /// Allots half of the unreserved file descriptors to clients and the rest to endpoints.
     fn new(file_descriptors: usize) -> ConnectionLimits {
         let connections = file_descriptors.saturating_sub(RESERVED_FILE_DESCRIPTORS);
         let clients = connections / 2;
@@ -109,7 +111,7 @@
     }
 }
 
-/// The courier.
+/// The state of a courier process: its settings and the parts of the core.
 pub struct Core {
     settings: DeploymentSettings,
     clock: Clock,
@@ -130,8 +132,8 @@
 }
 
 impl Core {
-    /// Creates a courier that continues from the journal's state. `wall` is the wall clock's reading at
-    /// `now`.
+    /// Creates a courier with the state recovered from the journal. `now` is the monotonic time and `wall`
+    /// the wall-clock time of the same moment.
     pub fn new(config: Config, replay: Replay, now: Time, wall: Time) -> Core {
         let journal_capacity = config.limits.disk_bytes();
         let max_connections = ConnectionLimits::new(config.limits.file_descriptors);
@@ -172,7 +174,7 @@
         self.effects.take_outputs()
     }
 
-    /// Takes the events for the operators' log.
+    /// Takes the events for the operators' log that were produced since the last call.
     pub fn take_events(&mut self) -> Vec<CoreEvent> {
         self.effects.take_events()
     }
@@ -219,9 +221,9 @@
             .min(self.attempts.next_wake(self.clock.now()))
     }
 
-    /// Whether requests and decisions still wait for discovery, because the cached endpoint list is that of
-    /// the previous process and discovery may have a newer one. Ends when discovery has synced, or after a
-    /// timeout.
+    /// Whether requests and decisions still wait for the first event of discovery: the cached endpoint list
+    /// was stored by the previous process and may be outdated. Ends when discovery has synced, or after
+    /// [`decisions::INITIAL_SYNC_TIMEOUT`].
     fn in_initial_sync(&self) -> bool {
         !self.discovery.has_synced() && !self.decisions.initial_sync_timed_out(self.clock.now())
     }
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -1,6 +1,6 @@
-//! Admission: the requests that wait for the decision on their message, and the answers to clients.
+//! Admission control: the clients whose message is not decided yet, and the HTTP responses to clients.
 //!
-//! It knows clients by id only and never touches connections to endpoints.
+//! Clients are known by connection id only; connections to endpoints are not handled here.
 
 use super::client_connections::ClientId;
 use super::request::RequestError;
@@ -10,30 +10,30 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// A client that waits for an answer, and how its connection continues afterwards.
+/// A client that is waiting for a response, and whether its connection is kept open afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requester {
     /// The client's connection.
     pub client: ClientId,
-    /// Whether the client wants to keep the connection open.
+    /// Whether the request permits keeping the connection open.
     pub persistence: Persistence,
 }
 
-/// An answer to a client.
+/// The answer to a client's request, sent as an HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The courier is ready.
+    /// `GET /ready`: the journal is writable, so messages can be accepted.
     Ready,
-    /// The courier cannot accept messages at present.
+    /// `GET /ready`: the journal is unwritable, so no message can be accepted.
     NotReady,
     /// The message is accepted.
     Accepted,
     /// The message is rejected without an attempt.
     Rejected {
-        /// Delay before the client should submit the message again, in nanoseconds; 0 for no advice.
+        /// The `Retry-After` of the response, in nanoseconds; 0 for a response without that field.
         retry_after: Time,
     },
-    /// The message failed at once.
+    /// The decision library failed the message before any attempt.
     Failed,
     /// The request is not a valid submission.
     Invalid(RequestError),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Encodes the answer as an HTTP response.
+    /// Encodes the HTTP response.
     pub fn encode(self, persistence: Persistence) -> Vec<u8> {
         let retry_after = match self {
             Answer::Rejected { retry_after } if retry_after > 0 => {
@@ -68,46 +68,48 @@
     }
 }
 
-/// The decision on a message, and the requests that it answers.
+/// The decision on a submitted message, and the clients that receive it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AdmissionDecision {
-    /// The message.
+    /// The message's number.
     pub message: u32,
-    /// The answer.
+    /// The answer to every client that submitted the message.
     pub answer: Answer,
-    /// The requests that get the answer.
+    /// The clients that submitted the message.
     pub requesters: Vec<Requester>,
 }
 
-/// The actions of a decision, divided by what they concern.
+/// The actions of a decision, split into answers to submissions and all other actions.
 #[derive(Debug, PartialEq)]
 pub struct DecidedActions {
-    /// The decisions on all messages that awaited one. Actions that reject or fail such a message are
-    /// consumed by its answer.
+    /// One decision for each message that had none. An action that rejects or fails such a message is
+    /// replaced by its answer.
     pub admissions: Vec<AdmissionDecision>,
-    /// All other actions, in their order. A rejection or failure among them concerns an accepted message.
+    /// All other actions in their original order. A rejection or failure among them concerns a message that
+    /// was accepted before.
     pub to_execute: Vec<Action>,
 }
 
-/// Requests that wait for the decision on their message, by message number.
+/// The messages that were submitted and are not decided yet.
 #[derive(Debug, Default)]
 pub struct Admission {
-    awaiting: BTreeMap<u32, Vec<Requester>>,
+    /// The clients that submitted each message, by message number.
+    undecided: BTreeMap<u32, Vec<Requester>>,
 }
 
 impl Admission {
-    /// Registers a request that waits for the decision on a message.
+    /// Adds a client that receives the decision on a message.
     pub fn await_decision(&mut self, message: u32, requester: Requester) {
-        self.awaiting.entry(message).or_default().push(requester);
+        self.undecided.entry(message).or_default().push(requester);
     }
 
-    /// Whether the decision on a message is outstanding.
+    /// Whether a message was submitted and is not decided yet.
     pub fn awaits_decision(&self, message: u32) -> bool {
-        self.awaiting.contains_key(&message)
+        self.undecided.contains_key(&message)
     }
 
-    /// Removes all waiting requests and decides each of their messages: rejected or failed if one of the
-    /// actions says so, accepted otherwise.
+    /// Decides and removes every undecided message: rejected or failed if one of the actions says so,
+    /// accepted otherwise.
     pub fn decide(&mut self, actions: Vec<Action>) -> DecidedActions {
         let mut not_accepted: BTreeMap<u32, Answer> = BTreeMap::new();
         let mut to_execute = Vec::new();
@@ -122,17 +124,17 @@
                 other => to_execute.push(other),
             }
         }
-        DecidedActions { admissions: self.decide_awaiting(&not_accepted), to_execute }
+        DecidedActions { admissions: self.decide_all(&not_accepted), to_execute }
     }
 
-    /// Removes all waiting requests and accepts each of their messages.
+    /// Accepts and removes every undecided message.
     pub fn accept_all(&mut self) -> Vec<AdmissionDecision> {
-        self.decide_awaiting(&BTreeMap::new())
+        self.decide_all(&BTreeMap::new())
     }
 
-    fn decide_awaiting(&mut self, not_accepted: &BTreeMap<u32, Answer>) -> Vec<AdmissionDecision> {
+    fn decide_all(&mut self, not_accepted: &BTreeMap<u32, Answer>) -> Vec<AdmissionDecision> {
         let mut decisions = Vec::new();
-        for (message, requesters) in std::mem::take(&mut self.awaiting) {
+        for (message, requesters) in std::mem::take(&mut self.undecided) {
             let answer = not_accepted.get(&message).copied().unwrap_or(Answer::Accepted);
             decisions.push(AdmissionDecision { message, answer, requesters });
         }
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts in flight, and the cooldowns of ordering keys after them.
+//! Attempts in flight: each from the decision to send it until its outcome, with its deadline. Also the
+//! cooldowns of ordering keys whose last attempt may still be executing.
 //!
-//! This module owns each attempt from the decision to send it until its outcome. It never selects an
-//! endpoint.
+//! The endpoint of an attempt is selected by the decision library.
 
 use super::key_cooldowns::KeyCooldowns;
 use linnetcart::Time;
@@ -19,28 +19,28 @@
 /// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// The attempt has not requested a connection. It was decided just now, or its ordering key blocks it:
-    /// the key waits for the acknowledgement of another message, or cools down.
+    /// No connection was requested. The attempt was decided in this iteration, or its ordering key blocks it:
+    /// the status notification of another message of the key is unacknowledged, or the key is cooling down.
     Pending,
-    /// The attempt has requested a connection.
+    /// A connection was requested, and the request may have been sent on it.
     Started,
 }
 
 /// An attempt in flight.
 #[derive(Debug)]
 pub struct InFlightAttempt {
-    /// The endpoint that it is sent to.
+    /// The endpoint that was selected for the attempt.
     pub endpoint: u32,
-    /// When the attempt was decided; monotonic time.
+    /// When the attempt was decided, in nanoseconds of monotonic time.
     pub started_at: Time,
-    /// When the attempt times out; monotonic time.
+    /// When the attempt times out, in nanoseconds of monotonic time.
     pub deadline: Time,
     stage: AttemptStage,
 }
 
 impl InFlightAttempt {
-    /// Returns an attempt with zero duration. Used for the answer to an abandoned attempt, whose duration was
-    /// already reported when it was abandoned.
+    /// Creates an attempt that starts and ends at `now`. Stands in for an abandoned attempt whose response
+    /// arrives late: its duration was reported to the decision library when it was abandoned.
     pub fn ended_at(endpoint: u32, now: Time) -> InFlightAttempt {
         InFlightAttempt { endpoint, started_at: now, deadline: now, stage: AttemptStage::Started }
     }
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Attempts {
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Cooldowns of ordering keys whose last attempt may still be executing.
+    /// Cooldowns of ordering keys whose last attempt may still be executing at its endpoint.
     pub key_cooldowns: KeyCooldowns,
 }
 
@@ -65,7 +65,7 @@
         self.attempts.is_empty()
     }
 
-    /// Adds an attempt that was decided, in the stage [`AttemptStage::Pending`].
+    /// Adds an attempt in the stage [`AttemptStage::Pending`].
     pub fn add(&mut self, id: AttemptId, endpoint: u32, now: Time, deadline: Time) {
         let stage = AttemptStage::Pending;
         self.attempts.insert(id, InFlightAttempt { endpoint, started_at: now, deadline, stage });
@@ -76,14 +76,14 @@
         self.attempts.get(&id)
     }
 
-    /// Marks an attempt as started: it requests a connection now.
+    /// Moves an attempt to the stage [`AttemptStage::Started`].
     pub fn start(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.stage = AttemptStage::Started;
         }
     }
 
-    /// Removes an attempt that ended.
+    /// Removes and returns an attempt that ended.
     pub fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         self.attempts.remove(&id)
     }
@@ -100,7 +100,7 @@
         self.attempts.range(first..=last).map(|(&id, _)| id).collect()
     }
 
-    /// Returns the ids of the attempts that have not requested a connection.
+    /// Returns the ids of the attempts in the stage [`AttemptStage::Pending`].
     pub fn pending(&self) -> Vec<AttemptId> {
         self.ids_where(|attempt| attempt.stage == AttemptStage::Pending)
     }
@@ -110,12 +110,12 @@
         self.ids_where(|attempt| attempt.deadline <= now)
     }
 
-    fn ids_where(&self, applies: impl Fn(&InFlightAttempt) -> bool) -> Vec<AttemptId> {
-        self.attempts.iter().filter(|(_, attempt)| applies(attempt)).map(|(&id, _)| id).collect()
+    fn ids_where(&self, predicate: impl Fn(&InFlightAttempt) -> bool) -> Vec<AttemptId> {
+        self.attempts.iter().filter(|(_, attempt)| predicate(attempt)).map(|(&id, _)| id).collect()
     }
 
-    /// Returns the earliest time at which an attempt times out or a pending one may start; [`Time::MAX`] for
-    /// none.
+    /// Returns the earliest of all attempts' deadlines and, if an attempt is pending, of all ends of key
+    /// cooldowns; [`Time::MAX`] for none.
     pub fn next_wake(&self, now: Time) -> Time {
         let deadlines = self.attempts.values().map(|attempt| attempt.deadline);
         let next_deadline = deadlines.min().unwrap_or(Time::MAX);
--- a/crates/platform/src/core/completion.rs
+++ b/crates/platform/src/core/completion.rs
@@ -1,4 +1,5 @@
-//! Completion: the final outcome of a message, its notification and the end of its life in the tables.
+//! Completion: sets the final outcome of a message, notifies its sender and removes it from the in-flight
+//! table.
 
 use super::clock::MILLISECOND;
 use super::counters::RecoveryCounts;
@@ -7,7 +8,8 @@
 use crate::records::{FinalOutcome, Record};
 use linnetcart::Time;
 
-/// An answer that arrives less than this before the message's deadline is no proof of delivery.
+/// Unit in which endpoints count the time remaining. A success response that arrives less than one unit
+/// before the message's deadline is no proof of delivery.
 const DEADLINE_RESOLUTION: Time = MILLISECOND;
 
 /// The effect of an endpoint's report that a message is executed.
@@ -15,16 +17,17 @@
 pub enum ReportedDelivery {
     /// The message is completed as delivered.
     Delivered,
-    /// The message is completed as failed, because the report arrived at its deadline.
+    /// The message is completed as failed: the report arrived less than [`DEADLINE_RESOLUTION`] before its
+    /// deadline, or after it.
     TooLate,
-    /// No effect: the message had its final outcome already, or is no longer in flight.
+    /// No effect: the message already had a final outcome, or is no longer in flight.
     AlreadyCompleted,
 }
 
 impl Core {
-    /// Completes a message that an endpoint reports as executed. The endpoint counts whole milliseconds and
-    /// may already have dropped the message; an answer in the last millisecond is recorded as
-    /// [`FinalOutcome::Failed`].
+    /// Completes a message that an endpoint reports as executed. The outcome is [`FinalOutcome::Failed`] if
+    /// `deadline - now < 1 ms`: the endpoint counts whole milliseconds and may already have dropped the
+    /// message.
     pub(super) fn complete_delivered(&mut self, number: u32) -> ReportedDelivery {
         let Some(message) = self.in_flight.get(number).filter(|message| !message.is_completed()) else {
             return ReportedDelivery::AlreadyCompleted;
@@ -33,14 +36,15 @@
             self.complete_undelivered(number, FinalOutcome::Failed);
             return ReportedDelivery::TooLate;
         }
-        tracing::debug!(id = %message.message().id_text(), outcome = ?FinalOutcome::Delivered, "message completed");
-        self.in_flight.complete(number, FinalOutcome::Delivered);
-        self.effects.record(Record::Completed { message: number, outcome: FinalOutcome::Delivered });
+        let outcome = FinalOutcome::Delivered;
+        tracing::debug!(id = %message.message().id_text(), ?outcome, "message completed");
+        self.in_flight.complete(number, outcome);
+        self.effects.record(Record::Completed { message: number, outcome });
         ReportedDelivery::Delivered
     }
 
-    /// Completes a message that was not delivered and queues the status notification, unless the message had
-    /// its final outcome already.
+    /// Completes a message that was not delivered and queues its status notification. Has no effect if the
+    /// message already has a final outcome.
     pub(super) fn complete_undelivered(&mut self, number: u32, outcome: FinalOutcome) {
         if !self.in_flight.complete(number, outcome) {
             return;
@@ -64,8 +68,8 @@
         self.remove_if_settled(number);
     }
 
-    /// Removes a message that is completed and acknowledged and has no attempt in flight. Its id stays known
-    /// until its deadline, unless it was returned.
+    /// Removes a message that is completed and acknowledged and has no attempt in flight. Its id stays in the
+    /// deduplication cache until its deadline, unless the message was returned to its sender.
     pub(super) fn remove_if_settled(&mut self, number: u32) {
         let Some(settled) = self.in_flight.remove_if_settled(number) else { return };
         if !settled.is_returned() {
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Reports the end of the recovery, once.
+    /// Logs the counts of a recovery that has finished; `None` for one that has not, or was reported before.
     pub(super) fn report_recovery(&mut self, finished: Option<RecoveryCounts>) {
         if let Some(counts) = finished {
             self.effects.event(CoreEvent::RecoveryFinished(counts));
--- a/crates/platform/src/core/decisions.rs
+++ b/crates/platform/src/core/decisions.rs
@@ -1,14 +1,15 @@
-//! The decision cycle: the decision library, the events for it and the time of its next decision.
+//! The decision cycle: the decision library, the events queued for it and the time of its next wake-up.
 
 use super::clock::MILLISECOND;
 use crate::records::Message;
 use linnetcart::{AcceptedMessage, Action, Dispatcher, Event, Time};
 
-/// The first decision waits at most this long for the first event of discovery, so that it uses the current
-/// endpoint list. Discovery answers at once or not at all, and clients wait 400 ms for their answers.
+/// Time limit of the initial sync: the first decision waits this long for the first event of discovery, so
+/// that it uses the current endpoint list. Discovery answers at once or not at all, and clients wait 400 ms
+/// for their responses.
 pub const INITIAL_SYNC_TIMEOUT: Time = 200 * MILLISECOND;
 
-/// The decision cycle.
+/// The decision library, the events queued for it and the time of its next wake-up.
 pub struct DecisionCycle {
     dispatcher: Dispatcher,
     /// Events since the last decision.
@@ -33,12 +34,12 @@
         self.events.push(event);
     }
 
-    /// Whether the first decision must no longer wait for discovery.
+    /// Whether the initial sync has reached its time limit.
     pub fn initial_sync_timed_out(&self, now: Time) -> bool {
         now >= self.initial_sync_until
     }
 
-    /// Returns when the initial sync ends at the latest.
+    /// Returns the time limit of the initial sync, in monotonic time.
     pub fn initial_sync_until(&self) -> Time {
         self.initial_sync_until
     }
@@ -48,25 +49,25 @@
         !self.events.is_empty()
     }
 
-    /// Returns when the next decision is due if no event is queued before; [`Time::MAX`] for never.
+    /// Returns when the next decision is due if no event is queued earlier; [`Time::MAX`] for never.
     pub fn next_decision(&self) -> Time {
         self.next_decision
     }
 
-    /// Whether a decision is due.
+    /// Whether a decision is due: an event is queued or the wake-up has arrived.
     pub fn is_due(&self, now: Time) -> bool {
         self.next_decision <= now || self.has_events()
     }
 
-    /// Runs one decision on the queued events. The events of recovered messages come after the endpoint list
-    /// and before all other events.
+    /// Passes the queued events to the decision library and returns its actions. The events of `recovered`
+    /// messages are inserted after the endpoint list and before all other events.
     pub fn decide(&mut self, now: Time, recovered: Vec<Event>) -> Vec<Action> {
-        // A wake-up in the future stays scheduled: the library does not request it again.
+        // A wake-up in the future stays scheduled, because the library does not request it again.
         if self.next_decision <= now {
             self.next_decision = Time::MAX;
         }
         let mut events = std::mem::take(&mut self.events);
-        // The first event of a process is the endpoint list that it has cached.
+        // The first event of a process is the cached endpoint list.
         let begins_with_list = matches!(events.first(), Some(Event::EndpointList { .. }));
         let after_list = usize::from(begins_with_list);
         events.splice(after_list..after_list, recovered);
@@ -74,24 +75,26 @@
     }
 
     /// Schedules the wake-up that the library requests. It replaces the previous one even if that was
-    /// earlier: the reason for that one no longer exists.
+    /// earlier, because the library requests the earliest wake-up that it still needs.
     pub fn wake_at(&mut self, time: Time) {
         self.next_decision = time;
     }
 
-    /// Ends decisions for good: queued events are dropped.
+    /// Cancels the wake-up and drops all queued events. Used in the shutdown, once no decision is made any
+    /// more.
     pub fn stop(&mut self) {
         self.next_decision = Time::MAX;
         self.events.clear();
     }
 
-    /// Whether a Retry-After of the endpoint's destination is still in force.
+    /// Whether a Retry-After of the endpoint's destination has not expired.
     pub fn retry_after_pending(&mut self, now: Time, endpoint: u32) -> bool {
         self.dispatcher.retry_after_pending(now, endpoint)
     }
 }
 
-/// Returns a message in the form of the decision library's events. This platform has no tenants.
+/// Converts a message to the decision library's form. `time_remaining` is the time until its deadline, in
+/// nanoseconds. The tenant is always 0, because this platform has no tenants.
 pub fn accepted_message(number: u32, message: &Message, time_remaining: Time) -> AcceptedMessage {
     AcceptedMessage {
         id: number,
--- a/crates/platform/src/core/deduplication.rs
+++ b/crates/platform/src/core/deduplication.rs
@@ -1,17 +1,18 @@
-//! The deduplication cache: ids of completed messages until their deadline.
+//! The deduplication cache: the ids of completed messages, each until its message's deadline.
 //!
-//! It recognises a message that is submitted again. The answer to it is decided elsewhere.
+//! It recognises messages that are submitted again; `submission` answers them.
 
 use super::in_flight::IdMatch;
 use crate::records::{digest, CompletedId, Message};
 use linnetcart::Time;
 use std::collections::{BTreeSet, HashMap};
 
-/// Fraction of the journal's capacity that completed ids may take, and the bytes that one id takes there.
+/// Completed ids may take 1/20 of the journal's capacity.
 const CAPACITY_DIVISOR: u64 = 20;
+/// Size of one completed id in the journal.
 const BYTES_PER_ID: u64 = 40;
 
-/// When an id expires. The one that expires first compares least.
+/// Key of the expiry index: ids ordered by the time at which they expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     expires_at: Time,
@@ -24,7 +25,7 @@
     }
 }
 
-/// The deduplication cache. Times are wall-clock times in nanoseconds.
+/// The ids of completed messages. Times are wall-clock times in nanoseconds.
 #[derive(Debug)]
 pub struct DeduplicationCache {
     capacity: usize,
@@ -33,7 +34,7 @@
 }
 
 impl DeduplicationCache {
-    /// Creates a cache whose ids take a bounded part of the journal.
+    /// Creates a cache of at most `journal_capacity_bytes` / ([`CAPACITY_DIVISOR`] * [`BYTES_PER_ID`]) ids.
     pub fn new(journal_capacity_bytes: u64) -> DeduplicationCache {
         DeduplicationCache {
             capacity: (journal_capacity_bytes / CAPACITY_DIVISOR / BYTES_PER_ID) as usize,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Adds an id until its expiry. Beyond the capacity, the ids that expire first are dropped.
+    /// Adds an id until its expiry. Drops expired ids and, at the capacity, the ids that expire first.
     pub fn insert(&mut self, completed: CompletedId, wall_now: Time) {
         while let Some(&next) = self.by_expiry.first() {
             if next.expires_at > wall_now && self.by_expiry.len() < self.capacity {
@@ -60,8 +61,8 @@
         self.by_expiry.insert(Expiry::of(&completed));
     }
 
-    /// Looks up the id of a message. Returns `None` if no completed message has it. The deadline is not
-    /// compared: it starts again with each submission.
+    /// Looks up the id of a message. Returns `None` if no completed message has it. Deadlines are not
+    /// compared: each submission of a message sets a new one.
     pub fn find(&self, message: &Message) -> Option<IdMatch> {
         let completed = self.by_id.get(&digest(&[&message.id]))?;
         if completed.content_digest == message.completed_id().content_digest {
--- a/crates/platform/src/core/delivery.rs
+++ b/crates/platform/src/core/delivery.rs
@@ -1,8 +1,9 @@
-//! Delivery: from a decision to the end of an attempt. The final outcome of a message is in `completion`.
+//! Delivery: executes the actions of the decision library and takes each attempt from its decision to its
+//! outcome. The final outcome of a message is in `completion`.
 //!
 //! Attempts are started only by an iteration, after its decision, and never directly by the input that makes
-//! one possible, such as an established connection or an acknowledgement. The same poll may also have brought
-//! a Retry-After, a drain, a changed address or the message's outcome.
+//! one possible, such as an established connection or an acknowledgement. Another input of the same poll may
+//! be a Retry-After, a drain of the endpoint, a new address or the outcome of the message.
 
 use super::attempts::{AttemptId, InFlightAttempt};
 use super::clock::MILLISECOND;
@@ -16,41 +17,41 @@
 
 const NOT_SENT: AttemptOutcome = AttemptOutcome::NotSent { no_capacity: false };
 
-/// The destination of a request, as listed at that moment.
+/// The address and zone of an endpoint in the current endpoint list.
 struct Target {
     address: SocketAddr,
     zone: u8,
 }
 
-/// Why an attempt cannot be sent on its connection.
+/// Why the endpoint list does not permit sending an attempt on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Unsendable {
-    /// The endpoint is draining, or was removed from the list.
+enum TargetError {
+    /// The endpoint is draining or was removed from the list.
     EndpointNotReady,
-    /// The endpoint has another address since the connect.
+    /// The endpoint's address has changed since the connect.
     AddressChanged,
 }
 
-impl Unsendable {
-    /// Returns the outcome of the attempt. Nothing was sent, so that it was certainly not executed; the
+impl TargetError {
+    /// Returns the outcome of the attempt. It was certainly not executed, because nothing was sent; the
     /// decision library does not distinguish the reasons.
     fn outcome(self) -> AttemptOutcome {
         match self {
-            Unsendable::EndpointNotReady | Unsendable::AddressChanged => AttemptOutcome::NoConnection,
+            TargetError::EndpointNotReady | TargetError::AddressChanged => AttemptOutcome::NoConnection,
         }
     }
 }
 
-/// Why an attempt is not sent although its connection could carry it.
+/// Why an attempt is not sent although its connection is usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WithholdReason {
-    /// A Retry-After of the destination is in force.
+enum UnsentReason {
+    /// A Retry-After of the endpoint's destination has not expired.
     RetryAfterPending,
-    /// The attempt needs a record and cannot be recorded.
+    /// The attempt needs a record in the journal, which is unwritable.
     JournalUnwritable,
 }
 
-/// Whether the message of an attempt has its final outcome.
+/// Whether the message of an attempt has a final outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MessageState {
     InFlight,
@@ -58,8 +59,9 @@
 }
 
 impl Core {
-    /// Executes an action of the decision library. The message of a rejection or failure was accepted before,
-    /// so that its sender is notified: messages that await their decision are answered by `answer_decided`.
+    /// Executes an action of the decision library. A rejection or failure here concerns a message that was
+    /// accepted before, so its sender gets a status notification; the client of a message that is not
+    /// accepted yet gets its response from `answer_decided`.
     pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Send { message, endpoint, until } => self.begin_attempt(message, endpoint, until),
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Begins an attempt that was decided. `until` is its deadline; 0 stands for the message's deadline.
+    /// Begins an attempt with the deadline min(`until`, deadline of the message); `until` = 0 sets no
+    /// deadline of its own.
     fn begin_attempt(&mut self, message: u32, endpoint: u32, until: Time) {
         let Some(attempt) = self.in_flight.begin_attempt(message) else { return };
         let deadline =
@@ -89,8 +92,8 @@
         self.start_attempt(attempt.id);
     }
 
-    /// Sends the attempts whose connections were established, and starts the pending ones that their ordering
-    /// key no longer blocks.
+    /// Sends the attempts whose connections were established, and starts the pending attempts whose ordering
+    /// key no longer blocks them.
     pub(super) fn start_ready_attempts(&mut self) {
         for connection in self.pool.take_connected() {
             if let Some(attempt) = self.pool.attempt_of(connection) {
@@ -102,7 +105,8 @@
         }
     }
 
-    /// Acquires a connection for an attempt unless its ordering key blocks it.
+    /// Acquires a connection for an attempt, and sends the attempt if the connection is an idle one. Does
+    /// nothing while the ordering key blocks the attempt.
     fn start_attempt(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let Some(message) = self.in_flight.get(id.message) else { return };
@@ -116,7 +120,7 @@
         }
         self.attempts.start(id);
         let Some(address) = self.discovery.endpoints().ready(endpoint).map(|ready| ready.address) else {
-            return self.finish_attempt(FinishedAttempt::new(id, Unsendable::EndpointNotReady.outcome()));
+            return self.finish_attempt(FinishedAttempt::new(id, TargetError::EndpointNotReady.outcome()));
         };
         match self.pool.acquire(id, endpoint, address, self.clock.now()) {
             Acquired::Idle(connection) => self.send_attempt(id, connection),
@@ -130,15 +134,17 @@
         }
     }
 
-    /// Whether an attempt has to wait: its ordering key waits for the acknowledgement of another message, or
-    /// the key cools down and this is the message's first attempt.
+    /// Whether the ordering key blocks an attempt: the status notification of another message of the key is
+    /// unacknowledged, or the key is cooling down and this is the message's first attempt.
     fn is_blocked(&self, id: AttemptId, ordering_key: u64) -> bool {
         let cooldowns = &self.attempts.key_cooldowns;
         let is_cooling_down = id.number == 0 && cooldowns.is_cooling_down(ordering_key, self.clock.now());
         is_cooling_down || self.notifier.blocks(ordering_key, id.message)
     }
 
-    /// Sends an attempt on its connection, unless it must not be sent any more.
+    /// Sends an attempt on its connection. Ends it unsent if its endpoint is no longer ready at the
+    /// connection's address, a Retry-After is pending, or the attempt needs a record and the journal is
+    /// unwritable.
     fn send_attempt(&mut self, id: AttemptId, connection: ConnectionId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let endpoint = attempt.endpoint;
@@ -152,10 +158,10 @@
             }
         };
         if self.decisions.retry_after_pending(self.clock.now(), endpoint) {
-            return self.withhold_attempt(id, endpoint, WithholdReason::RetryAfterPending);
+            return self.finish_unsent(id, endpoint, UnsentReason::RetryAfterPending);
         }
         if self.is_unrecordable(id.message) {
-            return self.withhold_attempt(id, endpoint, WithholdReason::JournalUnwritable);
+            return self.finish_unsent(id, endpoint, UnsentReason::JournalUnwritable);
         }
         let time_remaining = deadline.saturating_sub(self.clock.now());
         tracing::debug!(
@@ -177,38 +183,40 @@
         self.report_recovery(recovery);
     }
 
-    /// Whether an attempt of a message cannot begin at present, because it could not be recorded.
+    /// Whether an attempt of a message needs a record that cannot be written at present.
     fn is_unrecordable(&self, message: u32) -> bool {
         self.journal == JournalState::Unwritable && self.attempt_needs_record(message)
     }
 
-    /// Ends an attempt unsent and leaves its connection to the next attempt.
-    fn withhold_attempt(&mut self, id: AttemptId, endpoint: u32, reason: WithholdReason) {
+    /// Ends an attempt without sending it, and releases its connection for reuse.
+    fn finish_unsent(&mut self, id: AttemptId, endpoint: u32, reason: UnsentReason) {
         if let Some(message) = self.in_flight.get(id.message) {
             let message = message.message().id_text().into_owned();
             self.effects.event(match reason {
-                WithholdReason::RetryAfterPending => CoreEvent::AttemptWithheld { endpoint, message },
-                WithholdReason::JournalUnwritable => CoreEvent::AttemptUndone { message, attempt: id.number },
+                UnsentReason::RetryAfterPending => CoreEvent::AttemptWithheld { endpoint, message },
+                UnsentReason::JournalUnwritable => CoreEvent::AttemptUndone { message, attempt: id.number },
             });
         }
         self.pool.release_unused(id, self.clock.now());
         let outcome = match reason {
-            WithholdReason::RetryAfterPending => NOT_SENT,
-            WithholdReason::JournalUnwritable => AttemptOutcome::LocalFault,
+            UnsentReason::RetryAfterPending => NOT_SENT,
+            UnsentReason::JournalUnwritable => AttemptOutcome::LocalFault,
         };
         self.finish_attempt(FinishedAttempt::new(id, outcome));
     }
 
-    /// Returns where an attempt may be sent on its connection, or why it must not be sent.
-    fn target_of(&self, endpoint: u32, connection: ConnectionId) -> Result<Target, Unsendable> {
-        let ready = self.discovery.endpoints().ready(endpoint).ok_or(Unsendable::EndpointNotReady)?;
+    /// Returns the endpoint's listed address and zone if the endpoint is ready and the connection leads to
+    /// that address.
+    fn target_of(&self, endpoint: u32, connection: ConnectionId) -> Result<Target, TargetError> {
+        let ready = self.discovery.endpoints().ready(endpoint).ok_or(TargetError::EndpointNotReady)?;
         if self.pool.address(connection) != Some(ready.address) {
-            return Err(Unsendable::AddressChanged);
+            return Err(TargetError::AddressChanged);
         }
         Ok(Target { address: ready.address, zone: ready.zone })
     }
 
-    /// Cancels an attempt. It ends with `outcome` if it was possibly executed, and as not sent otherwise.
+    /// Cancels an attempt. Its outcome is `outcome` if its request was queued, otherwise
+    /// [`AttemptOutcome::NotSent`].
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, outcome: AttemptOutcome) {
         if self.attempts.get(id).is_none() {
             return;
@@ -220,10 +228,10 @@
         self.finish_attempt(FinishedAttempt::new(id, outcome));
     }
 
-    /// Handles the end of an attempt, or the answer to an abandoned one.
+    /// Handles the end of an attempt, or the late response to an abandoned one.
     pub(super) fn finish_attempt(&mut self, finished: FinishedAttempt) {
         if let Some(endpoint) = finished.abandoned_endpoint {
-            return self.late_answer(&finished, endpoint);
+            return self.handle_late_response(&finished, endpoint);
         }
         let id = finished.id;
         let Some(attempt) = self.attempts.remove(id) else { return };
@@ -250,9 +258,9 @@
         self.remove_if_settled(id.message);
     }
 
-    /// Handles the answer to an abandoned attempt. If it was served, its message is completed and the other
-    /// attempts of the message are cancelled; any other answer only affects the endpoint's limit.
-    fn late_answer(&mut self, finished: &FinishedAttempt, endpoint: u32) {
+    /// Handles the late response to an abandoned attempt. If it was served, its message is completed and the
+    /// message's other attempts are cancelled; any other response only affects the limit of its endpoint.
+    fn handle_late_response(&mut self, finished: &FinishedAttempt, endpoint: u32) {
         let message = finished.id.message;
         if finished.outcome != AttemptOutcome::Served {
             let now = self.clock.now();
@@ -280,7 +288,8 @@
         }));
     }
 
-    /// Starts the cooldown of an ordering key whose attempt ended and may still be executing.
+    /// Starts and records the cooldown of an ordering key: an attempt of it ended for the courier, but may
+    /// still be executing at its endpoint.
     pub(super) fn start_key_cooldown(&mut self, ordering_key: u64) {
         if let Some(until) = self.attempts.key_cooldowns.start(ordering_key, self.clock.now()) {
             let until = self.clock.to_wall(until);
@@ -289,6 +298,7 @@
     }
 }
 
+/// Whether the endpoint may still be executing the message after an attempt ended with this outcome.
 fn may_still_execute(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
 }
