--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -1,7 +1,7 @@
-//! Client connections: the framing of their requests, idle timeouts and eviction.
+//! Connections of clients: buffering and HTTP/1.1 framing of requests, timeouts, and eviction at the
+//! capacity.
 //!
-//! This module owns the connections and their timeouts; the stage of a single one is in `connection`. It
-//! never interprets the content of a request.
+//! The state of a single connection is in `connection`; the content of requests is interpreted by `request`.
 
 mod connection;
 
@@ -16,55 +16,54 @@
 /// Identifies a client's connection; assigned by the shell.
 pub type ClientId = u64;
 
-/// Interval of the search for connections that have timed out.
+/// Interval between two searches for connections that have timed out.
 const SWEEP_INTERVAL: Time = 100 * MILLISECOND;
 
-/// The request in the buffered bytes of a connection.
+/// The result of parsing the buffered bytes of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequestEvent<'a> {
     /// The request is incomplete.
     Incomplete,
-    /// One complete request and no further bytes.
+    /// The bytes are exactly one complete request.
     Complete(Request<'a>),
     /// The bytes are not a valid request.
     Malformed(RequestError),
-    /// Further bytes follow a request that is not answered yet.
+    /// The client sent further bytes after a request without waiting for its response (HTTP pipelining).
     Pipelined,
 }
 
-/// Whether received bytes have to be processed before the next iteration.
+/// Whether received bytes can still become a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// The bytes are buffered until the next iteration.
+    /// They can; they are buffered until the next iteration.
     Buffered,
-    /// The bytes cannot become a valid request; [`ClientConnections::request`] returns the reason.
+    /// They cannot; the request is rejected at once. [`ClientConnections::request`] returns the reason.
     Malformed,
 }
 
-/// A connection that has timed out.
+/// A connection that has timed out or, with [`IdlePolicy::Close`], is idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OverdueClient {
-    /// The connection is idle.
+pub enum ExpiredClient {
+    /// No byte of a request has arrived.
     Idle(ClientId),
-    /// The connection has sent part of a request.
+    /// A part of a request has arrived.
     InRequest(ClientId),
 }
 
-/// The client connections.
+/// All connections of clients.
 #[derive(Debug)]
 pub struct ClientConnections {
     capacity: usize,
     connections: BTreeMap<ClientId, ClientConnection>,
-    /// Connections with bytes that no iteration has processed yet.
+    /// Connections with received bytes that no iteration has parsed yet.
     unread: BTreeSet<ClientId>,
-    /// Connections whose client sends no more. They are closed after the next iteration has answered their
-    /// requests.
+    /// Connections that their client has half-closed; closed once an iteration has answered their requests.
     half_closed: Vec<ClientId>,
     next_sweep: Time,
 }
 
 impl ClientConnections {
-    /// Creates an empty set of at most `capacity` connections.
+    /// Creates an empty table for at most `capacity` connections.
     pub fn new(capacity: usize, now: Time) -> ClientConnections {
         ClientConnections {
             capacity,
@@ -80,9 +79,9 @@
         self.connections.len()
     }
 
-    /// Adds a connection. If that exceeds the capacity, returns the connection that must be closed: the
-    /// longest silent one of those that never sent a request, otherwise the longest idle one, otherwise the
-    /// new one.
+    /// Adds a connection. If that exceeds the capacity, evicts and returns the connection that must be
+    /// closed: the first in [`EvictionOrder`](connection::EvictionOrder), or the new one if none may be
+    /// evicted.
     pub fn opened(&mut self, id: ClientId, now: Time) -> Option<ClientId> {
         let evicted = if self.connections.len() >= self.capacity {
             Some(self.eviction_candidate(now).unwrap_or(id))
@@ -97,34 +96,34 @@
     }
 
     fn eviction_candidate(&self, now: Time) -> Option<ClientId> {
-        // Unread bytes may be a complete request, which would be lost with its connection.
+        // Unread bytes may be a complete request, which would be lost if its connection were closed.
         let has_unread_bytes =
             |id: &ClientId, client: &ClientConnection| self.unread.contains(id) && !client.request.is_empty();
         let candidates = self
             .connections
             .iter()
             .filter(|(id, client)| client.is_evictable(now) && !has_unread_bytes(id, client));
-        let longest = candidates.min_by_key(|(&id, client)| (client.eviction_order(), id));
-        longest.map(|(&id, _)| id)
+        let first = candidates.min_by_key(|(&id, client)| (client.eviction_order(), id));
+        first.map(|(&id, _)| id)
     }
 
-    /// Forgets a connection that is closed or is being closed.
+    /// Removes a connection that is closed or is being closed.
     pub fn closed(&mut self, id: ClientId) {
         self.connections.remove(&id);
         self.unread.remove(&id);
     }
 
-    /// Records that the client of a connection will send no more bytes.
+    /// Records that the client has half-closed a connection: it sends no more bytes.
     pub fn half_closed(&mut self, id: ClientId) {
         self.half_closed.push(id);
     }
 
-    /// Takes the connections whose client sends no more.
+    /// Takes the connections that their client has half-closed.
     pub fn take_half_closed(&mut self) -> Vec<ClientId> {
         std::mem::take(&mut self.half_closed)
     }
 
-    /// Buffers received bytes.
+    /// Buffers received bytes, and checks whether they can become a valid request.
     pub fn receive(&mut self, id: ClientId, bytes: &[u8], now: Time) -> Received {
         let Some(client) = self.connections.get_mut(&id) else { return Received::Buffered };
         client.receive(bytes, now);
@@ -135,12 +134,12 @@
         }
     }
 
-    /// Takes the connections with bytes that no iteration has processed.
+    /// Takes the connections that received bytes since the last call.
     pub fn take_unread(&mut self) -> BTreeSet<ClientId> {
         std::mem::take(&mut self.unread)
     }
 
-    /// Returns the request in the buffered bytes of a connection.
+    /// Parses the buffered bytes of a connection.
     pub fn request(&self, id: ClientId) -> RequestEvent<'_> {
         let Some(client) = self.connections.get(&id) else { return RequestEvent::Incomplete };
         match parse_request(&client.request) {
@@ -151,19 +150,20 @@
         }
     }
 
-    /// Returns when the last byte of the request arrived; the request's time limit counts from there.
+    /// Returns when the last byte of a connection's request arrived. The message's time remaining counts from
+    /// then.
     pub fn last_byte_at(&self, id: ClientId) -> Option<Time> {
         self.connections.get(&id).map(|client| client.last_byte_at)
     }
 
-    /// Records that the connection's request will be answered later.
+    /// Records that a connection's request is complete and will be answered later.
     pub fn mark_awaiting_answer(&mut self, id: ClientId) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.awaits_answer = true;
         }
     }
 
-    /// Records that the connection's request was answered.
+    /// Records that a connection's request was answered.
     pub fn answered(&mut self, id: ClientId, now: Time) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.answered(now);
@@ -175,7 +175,7 @@
         self.next_sweep
     }
 
-    /// Begins a sweep if one is due, and schedules the next one. Returns whether it is due.
+    /// Returns whether a sweep is due, and if so schedules the next one.
     pub fn begin_sweep(&mut self, now: Time) -> bool {
         if now < self.next_sweep {
             return false;
@@ -185,19 +185,19 @@
     }
 
     /// Returns the connections that have timed out and, with [`IdlePolicy::Close`], all idle ones.
-    pub fn overdue(&self, now: Time, idle: IdlePolicy) -> Vec<OverdueClient> {
-        let mut overdue = Vec::new();
+    pub fn expired(&self, now: Time, idle: IdlePolicy) -> Vec<ExpiredClient> {
+        let mut expired = Vec::new();
         for (&id, client) in &self.connections {
-            if !client.is_overdue(now, idle) {
+            if !client.is_expired(now, idle) {
                 continue;
             }
-            overdue.push(if client.request.is_empty() {
-                OverdueClient::Idle(id)
+            expired.push(if client.request.is_empty() {
+                ExpiredClient::Idle(id)
             } else {
-                OverdueClient::InRequest(id)
+                ExpiredClient::InRequest(id)
             });
         }
-        overdue
+        expired
     }
 }
 
--- a/crates/platform/src/core/client_connections/connection.rs
+++ b/crates/platform/src/core/client_connections/connection.rs
@@ -1,48 +1,50 @@
-//! One connection of a client: its stage, its timeouts and whether it may be evicted.
+//! One connection of a client: its stage, its time limits and its eligibility for eviction.
 
 use crate::core::clock::MILLISECOND;
 use linnetcart::Time;
 
-/// Time limit for a request: the first one counts from the connection, any other from its first byte.
+/// Time limit for receiving a request, from the accept for the first request and from the first byte for
+/// others.
 pub const REQUEST_TIMEOUT: Time = 2000 * MILLISECOND;
-/// A connection that was answered and is idle is closed after this time.
+/// Time limit for an idle connection, from its last response.
 pub const IDLE_TIMEOUT: Time = 10_000 * MILLISECOND;
-/// A new connection is given this long to send its first request even when idle connections are being closed.
+/// Time from the accept during which a connection without a request is not closed by [`IdlePolicy::Close`].
 pub const FIRST_REQUEST_GRACE: Time = 200 * MILLISECOND;
-/// An idle connection may be evicted after this time when a new one needs its place.
+/// Minimum time since the last response, or since the first byte of the next request, before a connection
+/// that was answered may be evicted for a new one.
 pub const EVICTABLE_IDLE_TIME: Time = 2000 * MILLISECOND;
 
-/// How idle connections are treated.
+/// When idle connections are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdlePolicy {
-    /// Idle connections are closed after their timeout.
+    /// After [`IDLE_TIMEOUT`].
     Keep,
-    /// Idle connections are closed at once.
+    /// At once, in the shutdown.
     Close,
 }
 
-/// The progress of a connection from request to request.
+/// The stage of a connection in the sequence of requests and responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientStage {
-    /// The first request was not answered yet; the connection may have sent a part of it or nothing.
-    First {
-        /// When the connection was accepted, from which the time limit of the first request counts.
+    /// The first request was not answered yet; any part of it may have arrived, or nothing.
+    FirstRequest {
+        /// When the connection was accepted.
         accepted_at: Time,
     },
-    /// The last request was answered and no byte of a further one arrived.
+    /// The last request was answered, and no byte of the next one has arrived.
     Idle {
         /// When the last request was answered.
         idle_since: Time,
     },
-    /// Bytes of a further request arrived.
-    Further {
+    /// Bytes of the next request have arrived.
+    NextRequest {
         /// When its first byte arrived.
         request_began_at: Time,
     },
 }
 
-/// The order in which connections are evicted: those that never had an answer first, then the one that is
-/// longest in its stage.
+/// Sort key for eviction, least first: connections without any response before the others, then by the time
+/// since which they are in their stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionOrder {
     /// No request was answered yet.
@@ -50,9 +52,9 @@
         /// When the connection was accepted.
         since: Time,
     },
-    /// A request was answered.
+    /// At least one request was answered.
     Answered {
-        /// When the last request was answered, or the further one began.
+        /// When the last request was answered, or the first byte of the next one arrived.
         since: Time,
     },
 }
@@ -61,11 +63,11 @@
 #[derive(Debug)]
 pub struct ClientConnection {
     stage: ClientStage,
-    /// When the last byte arrived, or the connection was accepted.
+    /// When the last byte arrived; before any byte, when the connection was accepted.
     pub last_byte_at: Time,
     /// The bytes of the request that is not answered yet.
     pub request: Vec<u8>,
-    /// Whether a complete request was read and is not answered yet.
+    /// Whether a complete request is not answered yet.
     pub awaits_answer: bool,
 }
 
@@ -73,7 +75,7 @@
     /// Creates a connection that was accepted now.
     pub fn new(now: Time) -> ClientConnection {
         ClientConnection {
-            stage: ClientStage::First { accepted_at: now },
+            stage: ClientStage::FirstRequest { accepted_at: now },
             last_byte_at: now,
             request: vec![],
             awaits_answer: false,
@@ -83,7 +85,7 @@
     /// Buffers received bytes.
     pub fn receive(&mut self, bytes: &[u8], now: Time) {
         if matches!(self.stage, ClientStage::Idle { .. }) {
-            self.stage = ClientStage::Further { request_began_at: now };
+            self.stage = ClientStage::NextRequest { request_began_at: now };
         }
         self.last_byte_at = now;
         self.request.extend_from_slice(bytes);
@@ -96,51 +98,51 @@
         self.request = Vec::new();
     }
 
-    /// Returns the connection's place in the order of eviction; the least is evicted first.
+    /// Returns the connection's sort key for eviction.
     pub fn eviction_order(&self) -> EvictionOrder {
         match self.stage {
-            ClientStage::First { accepted_at } => EvictionOrder::NeverAnswered { since: accepted_at },
-            ClientStage::Idle { idle_since: since } | ClientStage::Further { request_began_at: since } => {
-                EvictionOrder::Answered { since }
-            }
+            ClientStage::FirstRequest { accepted_at } => EvictionOrder::NeverAnswered { since: accepted_at },
+            ClientStage::Idle { idle_since: since }
+            | ClientStage::NextRequest { request_began_at: since } => EvictionOrder::Answered { since },
         }
     }
 
-    /// Whether the connection may be closed when a new one needs its place.
+    /// Whether the connection may be closed in favour of a new one.
     pub fn is_evictable(&self, now: Time) -> bool {
-        let long_enough = match self.eviction_order() {
+        let is_old_enough = match self.eviction_order() {
             EvictionOrder::NeverAnswered { .. } => true,
             EvictionOrder::Answered { since } => since + EVICTABLE_IDLE_TIME <= now,
         };
-        long_enough && !self.awaits_answer
+        is_old_enough && !self.awaits_answer
     }
 
-    /// Whether the connection has timed out or, with [`IdlePolicy::Close`], is idle.
-    pub fn is_overdue(&self, now: Time, idle: IdlePolicy) -> bool {
+    /// Whether the connection is waiting for no response and has timed out or, with [`IdlePolicy::Close`], is
+    /// idle.
+    pub fn is_expired(&self, now: Time, idle: IdlePolicy) -> bool {
         if self.awaits_answer {
             return false;
         }
         self.deadline() <= now || (idle == IdlePolicy::Close && self.is_idle(now))
     }
 
-    /// Returns when the connection has to have left its stage.
+    /// Returns when the time limit of the present stage ends, in monotonic time.
     fn deadline(&self) -> Time {
         match self.stage {
-            ClientStage::First { accepted_at } => accepted_at + REQUEST_TIMEOUT,
+            ClientStage::FirstRequest { accepted_at } => accepted_at + REQUEST_TIMEOUT,
             ClientStage::Idle { idle_since } => idle_since + IDLE_TIMEOUT,
-            ClientStage::Further { request_began_at } => request_began_at + REQUEST_TIMEOUT,
+            ClientStage::NextRequest { request_began_at } => request_began_at + REQUEST_TIMEOUT,
         }
     }
 
-    /// Whether the connection has sent nothing of a request. A new connection counts as idle only after it
-    /// had time to send its first one.
+    /// Whether no byte of a request has arrived. A new connection counts as idle only after
+    /// [`FIRST_REQUEST_GRACE`].
     fn is_idle(&self, now: Time) -> bool {
         match self.stage {
-            ClientStage::First { accepted_at } => {
+            ClientStage::FirstRequest { accepted_at } => {
                 self.request.is_empty() && now >= accepted_at + FIRST_REQUEST_GRACE
             }
             ClientStage::Idle { .. } => true,
-            ClientStage::Further { .. } => false,
+            ClientStage::NextRequest { .. } => false,
         }
     }
 }
--- a/crates/platform/src/core/client_connections/tests.rs
+++ b/crates/platform/src/core/client_connections/tests.rs
@@ -1,7 +1,7 @@
 //! Eviction and timeouts of client connections.
 
 use super::connection::{EVICTABLE_IDLE_TIME, FIRST_REQUEST_GRACE, IDLE_TIMEOUT, REQUEST_TIMEOUT};
-use super::OverdueClient::{Idle, InRequest};
+use super::ExpiredClient::{Idle, InRequest};
 use super::*;
 
 const ASK: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
@@ -55,12 +55,12 @@
     clients.mark_awaiting_answer(3);
     clients.receive(4, ASK, 0);
     clients.answered(4, 0);
-    assert_eq!(clients.overdue(REQUEST_TIMEOUT, IdlePolicy::Keep), [Idle(1), InRequest(2)]);
-    assert_eq!(clients.overdue(IDLE_TIMEOUT, IdlePolicy::Keep), [Idle(1), InRequest(2), Idle(4)]);
-    assert_eq!(clients.overdue(0, IdlePolicy::Close), [Idle(4)], "the first may still send a request");
+    assert_eq!(clients.expired(REQUEST_TIMEOUT, IdlePolicy::Keep), [Idle(1), InRequest(2)]);
+    assert_eq!(clients.expired(IDLE_TIMEOUT, IdlePolicy::Keep), [Idle(1), InRequest(2), Idle(4)]);
+    assert_eq!(clients.expired(0, IdlePolicy::Close), [Idle(4)], "the first may still send a request");
     let idle = [Idle(1), Idle(4)];
     assert_eq!(
-        clients.overdue(FIRST_REQUEST_GRACE, IdlePolicy::Close),
+        clients.expired(FIRST_REQUEST_GRACE, IdlePolicy::Close),
         idle,
         "all idle connections during the shutdown"
     );
--- a/crates/platform/src/core/clock.rs
+++ b/crates/platform/src/core/clock.rs
@@ -1,20 +1,21 @@
-//! The courier's monotonic clock and its conversion to the wall clock that records use.
+//! The monotonic time of the present iteration, and its conversion to the wall-clock time used in records.
 
 use linnetcart::Time;
 
 /// One millisecond in nanoseconds.
 pub const MILLISECOND: Time = 1_000_000;
 
-/// The time of the present iteration. Only the core advances it; other parts get the time as an argument.
+/// The time of the present iteration, in nanoseconds. Only the core advances it; the parts get the time as an
+/// argument.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     now: Time,
-    /// Wall clock minus monotonic clock.
+    /// Wall-clock time minus monotonic time, fixed at the start of the process.
     wall_offset: Time,
 }
 
 impl Clock {
-    /// Creates a clock that shows `now` while the wall clock shows `wall`.
+    /// Creates a clock at the monotonic time `now` and the wall-clock time `wall` of the same moment.
     pub fn new(now: Time, wall: Time) -> Clock {
         Clock { now, wall_offset: wall.saturating_sub(now) }
     }
@@ -34,12 +35,12 @@
         time + self.wall_offset
     }
 
-    /// Converts a wall-clock time to monotonic time. A time that has passed becomes the present time.
-    pub fn at_wall(self, wall: Time) -> Time {
+    /// Converts a wall-clock time to monotonic time. A time in the past becomes the present time.
+    pub fn to_monotonic(self, wall: Time) -> Time {
         wall.saturating_sub(self.wall_offset).max(self.now)
     }
 
-    /// Advances to `now`; an earlier time has no effect.
+    /// Advances the monotonic time to `now`; an earlier time has no effect.
     pub fn advance(&mut self, now: Time) {
         self.now = self.now.max(now);
     }
--- a/crates/platform/src/core/connection_pool.rs
+++ b/crates/platform/src/core/connection_pool.rs
@@ -1,9 +1,9 @@
-//! The pool of upstream connections. Each connection carries one attempt at a time and is reused while it is
-//! clean.
+//! The pool of HTTP/1.1 connections to endpoints. A connection carries one attempt at a time and is reused
+//! after a complete response that permits it (keep-alive).
 //!
-//! The pool owns every connection to an endpoint from connect to close and derives the outcome of an attempt
-//! from what its connection did. It knows attempts by id only and never sees a message. An event for a
-//! connection that was already removed has no effect.
+//! The pool owns each connection from connect to close and derives the outcome of an attempt from the events
+//! of its connection: bytes received, connect failure, disconnect or timeout. Attempts are known by id only.
+//! An event for a connection that was already removed has no effect.
 
 mod acquire;
 mod connection;
@@ -27,57 +27,57 @@
 /// Identifies a connection to an endpoint or to discovery; assigned by the core.
 pub type ConnectionId = u64;
 
-/// Fraction of an endpoint's idle timeout after which the courier closes an idle connection: the endpoint
-/// must not close it while an attempt is being sent.
+/// The courier closes an idle connection after 3/4 of the endpoint's idle timeout, so that the endpoint does
+/// not close it while an attempt is being sent.
 const IDLE_TIMEOUT_NUMERATOR: Time = 3;
 const IDLE_TIMEOUT_DENOMINATOR: Time = 4;
 
-/// The state in which an attempt was cancelled.
+/// Whether the request of a cancelled attempt was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancelled {
-    /// The request was not queued: the attempt was certainly not executed.
+    /// The request was not queued, so the attempt was certainly not executed.
     Unsent,
-    /// The request was queued: the attempt was possibly executed. Its connection is abandoned.
+    /// The request was queued, so the attempt was possibly executed. Its connection is abandoned.
     Abandoned,
 }
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// It could not be established.
+    /// The connect failed.
     ConnectFailed,
-    /// The other side or the operating system ended it.
+    /// The endpoint closed it or the operating system reported an error.
     Disconnected,
-    /// It was in its state for too long.
-    Overdue,
-    /// Its attempt was cancelled before it was sent.
+    /// The time limit of its state passed.
+    TimedOut,
+    /// Its attempt was cancelled before the request was queued.
     CancelledUnsent,
-    /// No connections to the endpoint are to be kept idle.
+    /// The decision library requested that idle connections to the endpoint be closed.
     CloseIdle,
-    /// A new connection needs its place.
+    /// The pool was full and a new connection was needed.
     Evicted,
-    /// It has been idle for too long to be trusted.
-    Untrusted,
-    /// Bytes arrived that no request asked for.
+    /// After its idle time, it is expected to lose more calls than a new connection.
+    ReuseRejected,
+    /// Bytes arrived that belong to no response.
     UnexpectedBytes,
-    /// The answer is malformed.
+    /// The response is malformed.
     MalformedResponse,
-    /// The answer does not permit another request.
+    /// The response does not permit another request on the connection.
     ResponseEndsConnection,
-    /// The answer to an abandoned attempt arrived.
+    /// The response to an abandoned attempt arrived.
     LateResponse,
 }
 
-/// The size of the pool.
+/// The numbers of connections and attempts in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
     /// Number of connections.
     pub connections: usize,
-    /// Number of attempts that have a connection.
+    /// Number of attempts to which a connection is assigned.
     pub attempts: usize,
 }
 
-/// The connection pool.
+/// All connections to endpoints, and the attempts to which they are assigned.
 #[derive(Debug)]
 pub struct ConnectionPool {
     capacity: usize,
@@ -86,11 +86,11 @@
     connections: BTreeMap<ConnectionId, Connection>,
     by_attempt: BTreeMap<AttemptId, ConnectionId>,
     reuse_policy: LossRatePolicy,
-    /// Connections established since the core last took them.
+    /// Connections established since [`ConnectionPool::take_connected`] was last called.
     connected: Vec<ConnectionId>,
-    /// Connections that the shell has to close.
+    /// Connections closed since [`ConnectionPool::take_closed`] was last called.
     closed: Vec<ConnectionId>,
-    /// Connections on which the shell must send no more.
+    /// Connections abandoned since [`ConnectionPool::take_abandoned`] was last called.
     abandoned: Vec<ConnectionId>,
 }
 
@@ -102,7 +102,7 @@
         let timeouts = Timeouts {
             connect: connect_timeout,
             idle: endpoint_idle_timeout / IDLE_TIMEOUT_DENOMINATOR * IDLE_TIMEOUT_NUMERATOR,
-            // No setting of its own: the answer is awaited for as long as a new connection may take.
+            // There is no separate setting: a late response is awaited for as long as a connect may take.
             abandoned: connect_timeout,
         };
         ConnectionPool {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns the size of the pool.
+    /// Returns the numbers of connections and attempts.
     pub fn size(&self) -> PoolSize {
         PoolSize { connections: self.connections.len(), attempts: self.by_attempt.len() }
     }
@@ -129,52 +129,52 @@
         self.last_id
     }
 
-    /// Takes the connections that were closed.
+    /// Takes the connections that were closed since the last call; the shell has to close their sockets.
     pub fn take_closed(&mut self) -> Vec<ConnectionId> {
         std::mem::take(&mut self.closed)
     }
 
-    /// Takes the connections that were abandoned; nothing more may be sent on them.
+    /// Takes the connections that were abandoned since the last call; nothing more may be sent on them.
     pub fn take_abandoned(&mut self) -> Vec<ConnectionId> {
         std::mem::take(&mut self.abandoned)
     }
 
-    /// Takes the connections that were established.
+    /// Takes the connections that were established since the last call.
     pub fn take_connected(&mut self) -> Vec<ConnectionId> {
         std::mem::take(&mut self.connected)
     }
 
-    /// Records an established connection. The next iteration queues the request of its attempt, if that is
-    /// still to be sent; the connection keeps its state until then.
+    /// Records that a connection was established. It keeps its state until the next iteration queues the
+    /// request of its attempt.
     pub fn connected(&mut self, id: ConnectionId) {
         self.connected.push(id);
     }
 
-    /// Returns the attempt that a connection is assigned to.
+    /// Returns the attempt to which a connection is assigned.
     pub fn attempt_of(&self, id: ConnectionId) -> Option<AttemptId> {
         self.connections.get(&id)?.attempt
     }
 
-    /// Returns the address that a connection leads to.
+    /// Returns the remote address of a connection.
     pub fn address(&self, id: ConnectionId) -> Option<SocketAddr> {
         self.connections.get(&id).map(|connection| connection.address)
     }
 
-    /// Records that `length` bytes of an attempt's request were queued on its connection.
-    pub fn sent(&mut self, id: ConnectionId, length: usize) {
+    /// Records that the request of an attempt, `length` bytes, was queued on a connection.
+    pub fn request_queued(&mut self, id: ConnectionId, length: usize) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.sent(length);
+            connection.request_queued(length);
         }
     }
 
     /// Whether the request of an attempt is queued on a connection.
-    pub fn is_sent(&self, attempt: AttemptId) -> bool {
+    pub fn is_request_queued(&self, attempt: AttemptId) -> bool {
         let connection = self.by_attempt.get(&attempt).and_then(|id| self.connections.get(id));
         connection.is_some_and(Connection::is_in_use)
     }
 
-    /// Cancels an attempt. If its request was queued, an answer may be on its way, and a Retry-After in that
-    /// answer has to be respected: the connection is read until its timeout.
+    /// Cancels an attempt. If its request was queued, a response may still arrive, and a Retry-After in it
+    /// has to be respected: the connection is abandoned, which means that it is read until its timeout.
     pub fn cancel(&mut self, attempt: AttemptId, now: Time) -> Cancelled {
         let Some(&id) = self.by_attempt.get(&attempt) else { return Cancelled::Unsent };
         let Some(connection) = self.connections.get_mut(&id) else { return Cancelled::Unsent };
@@ -188,7 +188,7 @@
         Cancelled::Abandoned
     }
 
-    /// Releases the connection of an attempt that was not sent, for use by another attempt.
+    /// Releases the connection of an attempt whose request was not queued, for reuse by another attempt.
     pub fn release_unused(&mut self, attempt: AttemptId, now: Time) {
         let Some(id) = self.by_attempt.remove(&attempt) else { return };
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Handles a failed connect. Returns the attempt that failed with it.
+    /// Handles a failed connect. Returns the result of the attempt that was waiting for the connection.
     pub fn connect_failed(&mut self, id: ConnectionId, failure: ConnectFailure) -> Option<FinishedAttempt> {
         let attempt = self.close(id, CloseReason::ConnectFailed)?;
         let outcome = match failure {
@@ -220,20 +220,21 @@
         Some(FinishedAttempt::new(attempt, outcome))
     }
 
-    /// Releases the connection of an attempt whose request of `length` bytes is not sent after all.
-    pub fn release_unsent(&mut self, attempt: AttemptId, length: usize, now: Time) {
+    /// Releases the connection of an attempt whose queued request of `length` bytes is taken back before any
+    /// byte was written.
+    pub fn retract_request(&mut self, attempt: AttemptId, length: usize, now: Time) {
         let Some(id) = self.by_attempt.remove(&attempt) else { return };
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.unsent(length, now);
+            connection.request_retracted(length, now);
         }
     }
 
-    /// Handles the end of a connection on which the operating system accepted `written` bytes. Returns the
-    /// attempt that ended with it.
+    /// Handles the disconnect of a connection on which the operating system accepted `written` bytes since
+    /// the connect. Returns the result of the attempt to which it was assigned.
     pub fn disconnected(&mut self, id: ConnectionId, written: u64, now: Time) -> Option<FinishedAttempt> {
         let connection = self.connections.get(&id)?;
-        // The protocol counts a call when its last byte has arrived. A request of which the operating system
-        // accepted only a part was certainly not executed, as if there had been no connection.
+        // By the protocol, a call counts once its last byte has arrived. A request of which the operating
+        // system accepted only a part was certainly not executed, just as without a connection.
         let outcome = if connection.is_connecting() || written < connection.queued_bytes {
             AttemptOutcome::NoConnection
         } else if connection.has_success_line() {
@@ -248,17 +249,18 @@
         Some(FinishedAttempt::new(attempt, outcome))
     }
 
-    /// Closes the connections whose deadline has passed. Returns the attempts that ended with them.
-    pub fn close_overdue(&mut self, now: Time) -> Vec<FinishedAttempt> {
-        let mut overdue = Vec::new();
+    /// Closes the connections whose deadline has passed. Returns the results of the attempts to which they
+    /// were assigned.
+    pub fn close_timed_out(&mut self, now: Time) -> Vec<FinishedAttempt> {
+        let mut timed_out = Vec::new();
         for (&id, connection) in &self.connections {
             if connection.deadline(self.timeouts) <= now {
-                overdue.push((id, connection.outcome_when_overdue()));
+                timed_out.push((id, connection.outcome_on_timeout()));
             }
         }
         let mut finished = Vec::new();
-        for (id, outcome) in overdue {
-            if let Some(attempt) = self.close(id, CloseReason::Overdue) {
+        for (id, outcome) in timed_out {
+            if let Some(attempt) = self.close(id, CloseReason::TimedOut) {
                 finished.push(FinishedAttempt::new(attempt, outcome));
             }
         }
@@ -271,7 +273,7 @@
         self.connections.values().map(deadline).min().unwrap_or(Time::MAX)
     }
 
-    /// Closes a connection. Returns the attempt that it was assigned to.
+    /// Closes a connection. Returns the attempt to which it was assigned.
     fn close(&mut self, id: ConnectionId, reason: CloseReason) -> Option<AttemptId> {
         let connection = self.connections.remove(&id)?;
         let endpoint = connection.endpoint;
--- a/crates/platform/src/core/connection_pool/acquire.rs
+++ b/crates/platform/src/core/connection_pool/acquire.rs
@@ -1,4 +1,5 @@
-//! The choice of a connection for an attempt: an idle one that may be reused, or else a new one.
+//! Selects the connection for an attempt: the idle one that was used last if it may be reused, otherwise a
+//! new one. At the capacity, a new connection evicts an abandoned or idle one.
 
 use super::connection::{Connection, ConnectionState};
 use super::{CloseReason, ConnectionId, ConnectionPool};
@@ -6,26 +7,26 @@
 use linnetcart::Time;
 use std::net::SocketAddr;
 
-/// The connection that an attempt gets.
+/// The connection that was assigned to an attempt.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Acquired {
     /// An idle connection, on which the attempt can be sent now.
     Idle(ConnectionId),
-    /// A new connection, on which the attempt can be sent once it is connected.
+    /// A new connection, on which the attempt can be sent once it is established.
     Connecting(ConnectionId),
-    /// No connection: the pool is full and all of its connections are in use.
+    /// No connection: the pool is full, and every connection is in use or being established.
     Exhausted,
 }
 
-/// An idle connection that may be reused. The one that was used last compares greatest.
+/// An idle connection that may be reused; ordered by the time since which it is idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleConnection {
     idle_since: Time,
     id: ConnectionId,
 }
 
-/// The order in which connections are evicted: abandoned ones before idle ones, then the longest in that
-/// state.
+/// Sort key for eviction, least first: abandoned connections before idle ones, then by the time since which
+/// they are in that state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
     Abandoned { since: Time },
@@ -44,7 +45,7 @@
 }
 
 impl ConnectionPool {
-    /// Assigns an idle connection to an attempt, or begins a new one for it.
+    /// Assigns an idle connection to an attempt, or else a new one that the caller has to connect.
     pub fn acquire(&mut self, attempt: AttemptId, endpoint: u32, address: SocketAddr, now: Time) -> Acquired {
         let new_id = self.allocate_id();
         if let Some(id) = self.acquire_idle(attempt, endpoint, address, now) {
@@ -59,8 +60,8 @@
         Acquired::Connecting(new_id)
     }
 
-    /// Assigns the idle connection that was used last. Closes it instead, and returns `None`, if a new
-    /// connection is expected to lose fewer calls.
+    /// Assigns the idle connection that was used last (LIFO). Closes it instead, and returns `None`, if the
+    /// reuse policy expects a new connection to lose fewer calls.
     fn acquire_idle(
         &mut self,
         attempt: AttemptId,
@@ -71,7 +72,7 @@
         let IdleConnection { idle_since, id } = self.last_used_idle(endpoint, address, now)?;
         let idle_time = now - idle_since;
         if !self.reuse_policy.may_reuse(now, idle_time) {
-            self.close(id, CloseReason::Untrusted);
+            self.close(id, CloseReason::ReuseRejected);
             return None;
         }
         let connection = self.connections.get_mut(&id)?;
--- a/crates/platform/src/core/connection_pool/connection.rs
+++ b/crates/platform/src/core/connection_pool/connection.rs
@@ -1,15 +1,15 @@
-//! One upstream connection, its state and every transition of that state.
+//! The state machine of one connection to an endpoint:
 //!
 //! | from | event | to |
 //! | --- | --- | --- |
 //! | `Connecting` or `Idle` | the request is queued | `InUse` |
-//! | `Connecting` or `Idle` | the attempt is withheld | `Idle` |
-//! | `InUse` | the first byte of the answer arrives | `InUse` with that time |
-//! | `InUse` | the answer permits another attempt | `Idle` |
-//! | `InUse` | the request is not sent after all | `Idle` |
+//! | `Connecting` or `Idle` | the attempt ends before its request is queued | `Idle` |
+//! | `InUse` | the first byte of the response arrives | `InUse` with that time |
+//! | `InUse` | the response permits another request | `Idle` |
+//! | `InUse` | the queued request is taken back | `Idle` |
 //! | `InUse` | the attempt is cancelled | `Abandoned` |
 //!
-//! Any state ends when the pool closes the connection.
+//! The pool may close the connection in any state.
 
 use crate::core::attempts::AttemptId;
 use crate::core::clock::MILLISECOND;
@@ -17,46 +17,47 @@
 use linnetcart_http::{parse_response, EarlyStatus, ParsedResponse};
 use std::net::SocketAddr;
 
-/// After an answer, a connection is not reused for this long: bytes that follow the answer must not be read
-/// as the next answer.
-const SETTLE_TIME: Time = 10 * MILLISECOND;
-/// Time limit for the remaining bytes of an answer whose status line is 200; they may contain a load report.
+/// Delay between a response and the reuse of its connection, so that unexpected bytes after the response
+/// close the connection instead of being read as the next response.
+const REUSE_DELAY: Time = 10 * MILLISECOND;
+/// Time limit for the rest of a response whose status line reads 200; the rest may contain a load report.
 const SUCCESS_COMPLETION_TIMEOUT: Time = 50 * MILLISECOND;
-/// Time limit for the remaining bytes of any other answer. After it, the answer counts as damaged.
+/// Time limit for the rest of any other response; after it, the response counts as malformed.
 const RESPONSE_COMPLETION_TIMEOUT: Time = 1000 * MILLISECOND;
 
-/// How long a connection may remain in a state.
+/// Time limits of the states of a connection, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
     /// Time limit for a connect.
     pub connect: Time,
-    /// How long a connection may be idle.
+    /// Time limit for an idle connection.
     pub idle: Time,
-    /// How long the answer to an abandoned attempt is awaited.
+    /// Time limit for the response to an abandoned attempt, from its cancellation.
     pub abandoned: Time,
 }
 
 /// The state of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// The connection is being established for an attempt, or is established and the next iteration queues
-    /// the request.
+    /// The connection is being established for an attempt, or was established and the request is not queued
+    /// yet.
     Connecting {
         /// When the connect began.
         since: Time,
     },
     /// The request of an attempt is queued on the connection.
     InUse {
-        /// When the first byte of the answer arrived; `None` before.
+        /// When the first byte of the response arrived; `None` before.
         first_byte_at: Option<Time>,
     },
-    /// No request is outstanding. Within an iteration, an attempt may be assigned whose request is not queued
-    /// yet.
+    /// No request is outstanding. Within an iteration, an attempt may already be assigned whose request is
+    /// not queued yet.
     Idle {
         /// When the connection became idle.
         since: Time,
     },
-    /// The attempt was cancelled: nothing more is sent, and an answer is still read.
+    /// The attempt was cancelled after its request was queued: nothing more is sent, but a response is still
+    /// read.
     Abandoned {
         /// The cancelled attempt.
         attempt: AttemptId,
@@ -68,21 +69,21 @@
 /// A connection to an endpoint.
 #[derive(Debug)]
 pub struct Connection {
-    /// The endpoint that the connection leads to.
+    /// The endpoint of the connection.
     pub endpoint: u32,
     /// The endpoint's address when the connect began.
     pub address: SocketAddr,
-    /// The state of the connection; changed only by this module.
+    /// Private, so that only this module makes transitions.
     state: ConnectionState,
-    /// The attempt that the connection is assigned to.
+    /// The attempt to which the connection is assigned.
     pub attempt: Option<AttemptId>,
-    /// The bytes of the answer that have arrived.
+    /// The bytes of the response that have arrived.
     pub response: Vec<u8>,
-    /// Number of bytes queued since the connect. The last byte of the present request is at this position.
+    /// Number of request bytes queued since the connect, including those of the present request.
     pub queued_bytes: u64,
-    /// Number of bytes of the answer's body that have not arrived.
+    /// Number of bytes of the response body that have not arrived.
     pub body_remaining: usize,
-    /// How long the connection had been idle before its attempt, in nanoseconds; `None` for a new one.
+    /// How long the connection was idle before the present attempt, in nanoseconds; `None` for a new one.
     pub idle_before: Option<Time>,
 }
 
@@ -106,7 +107,7 @@
         &self.state
     }
 
-    /// Whether the connection is being established, or is established and no request was queued yet.
+    /// Whether the connection is being established, or was established and no request is queued yet.
     pub fn is_connecting(&self) -> bool {
         matches!(self.state, ConnectionState::Connecting { .. })
     }
@@ -121,33 +122,33 @@
         matches!(self.state, ConnectionState::Idle { .. })
     }
 
-    /// Whether a request is queued and no byte of its answer has arrived.
+    /// Whether a request is queued and no byte of its response has arrived.
     pub fn awaits_first_byte(&self) -> bool {
         self.state == ConnectionState::InUse { first_byte_at: None }
     }
 
-    /// Whether the incomplete answer has a complete status line with status 200.
+    /// Whether the incomplete response begins with a complete status line that reads 200.
     pub fn has_success_line(&self) -> bool {
         matches!(parse_response(&self.response), ParsedResponse::Incomplete { status: EarlyStatus::Ok })
     }
 
-    /// Returns since when the connection is idle, or `None` if it must not carry another attempt now. A
-    /// connection with an incomplete body is not reusable: the rest would be read as the next answer.
+    /// Returns since when the connection is idle, or `None` if it must not be reused now. A connection with
+    /// an incomplete body is not reusable, because the rest would be read as the next response.
     pub fn reusable_since(&self, now: Time, idle_timeout: Time) -> Option<Time> {
         let ConnectionState::Idle { since } = self.state else { return None };
-        let settled = self.body_remaining == 0 && since + SETTLE_TIME <= now;
-        (settled && since + idle_timeout > now).then_some(since)
+        let is_reusable = self.body_remaining == 0 && since + REUSE_DELAY <= now;
+        (is_reusable && since + idle_timeout > now).then_some(since)
     }
 
-    /// Assigns an attempt to an idle connection, which stays idle until the request is queued. `idle_time`
-    /// is how long it has been idle, in nanoseconds.
+    /// Assigns an idle connection to an attempt; it stays idle until the request is queued. `idle_time` is
+    /// how long it has been idle, in nanoseconds.
     pub fn assign(&mut self, attempt: AttemptId, idle_time: Time) {
         self.attempt = Some(attempt);
         self.idle_before = Some(idle_time);
     }
 
-    /// Releases the connection from an attempt whose request was not queued. If it was idle before, it
-    /// remains idle since the same time.
+    /// Releases the connection from an attempt whose request was not queued. A connection that was idle
+    /// before keeps the time since which it is idle.
     pub fn release_unused(&mut self, now: Time) {
         if !self.is_idle() {
             self.state = ConnectionState::Idle { since: now };
@@ -156,34 +157,34 @@
         self.idle_before = None;
     }
 
-    /// Records the time of the first byte of an answer.
-    pub fn first_byte(&mut self, now: Time) {
+    /// Records the arrival of the first byte of a response.
+    pub fn first_byte_received(&mut self, now: Time) {
         self.state = ConnectionState::InUse { first_byte_at: Some(now) };
     }
 
-    /// Abandons an attempt that was cancelled after its request was queued.
+    /// Abandons the connection: its attempt was cancelled after the request was queued.
     pub fn abandon(&mut self, attempt: AttemptId, now: Time) {
         self.state = ConnectionState::Abandoned { attempt, since: now };
         self.attempt = None;
     }
 
     /// Records that a request of `length` bytes was queued.
-    pub fn sent(&mut self, length: usize) {
+    pub fn request_queued(&mut self, length: usize) {
         self.queued_bytes += length as u64;
         self.state = ConnectionState::InUse { first_byte_at: None };
         self.response = Vec::new();
         self.body_remaining = 0;
     }
 
-    /// Records that the request of `length` bytes that was queued last is not sent after all.
-    pub fn unsent(&mut self, length: usize, now: Time) {
+    /// Records that the last queued request, `length` bytes, is taken back before any byte was written.
+    pub fn request_retracted(&mut self, length: usize, now: Time) {
         self.queued_bytes -= length as u64;
         self.state = ConnectionState::Idle { since: now };
         self.attempt = None;
         self.idle_before = None;
     }
 
-    /// Makes the connection idle after its attempt was answered.
+    /// Makes the connection idle after a response, of whose body `body_remaining` bytes have not arrived.
     pub fn make_idle(&mut self, now: Time, body_remaining: usize) {
         self.state = ConnectionState::Idle { since: now };
         self.attempt = None;
@@ -191,7 +192,7 @@
         self.body_remaining = body_remaining;
     }
 
-    /// Returns when the connection has to leave its present state; [`Time::MAX`] for no limit.
+    /// Returns when the time limit of the present state ends, in monotonic time; [`Time::MAX`] for no limit.
     pub fn deadline(&self, timeouts: Timeouts) -> Time {
         match self.state {
             ConnectionState::Connecting { since } => since + timeouts.connect,
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Returns the outcome of the attempt when the connection's deadline passes.
-    pub fn outcome_when_overdue(&self) -> AttemptOutcome {
+    /// Returns the outcome of the attempt if the connection times out in its present state.
+    pub fn outcome_on_timeout(&self) -> AttemptOutcome {
         if self.is_connecting() {
             AttemptOutcome::NoConnection
         } else if self.has_success_line() {
--- a/crates/platform/src/core/connection_pool/outcome.rs
+++ b/crates/platform/src/core/connection_pool/outcome.rs
@@ -1,9 +1,9 @@
-//! The outcome of an attempt as observed on its connection.
+//! The result of an attempt as observed on its connection: its outcome and the load report of the response.
 
 use crate::core::attempts::AttemptId;
 use linnetcart::AttemptOutcome;
 
-/// The values of an answer's load report; `None` for a value that is absent.
+/// The load report of a response; `None` for a value that is absent or unreadable.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Fraction of the endpoint's limit that is still available.
@@ -12,25 +12,24 @@
     pub rate_limit: Option<f64>,
 }
 
-/// An attempt that ended, with the content of its answer.
+/// The result of an attempt, with the information of its response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedAttempt {
     /// The attempt.
     pub id: AttemptId,
-    /// The outcome. `NotSent` is also the outcome of an attempt that its endpoint answered with 504, with 410
-    /// or with 503 and `x-egress-full`.
+    /// The outcome. `NotSent` also stands for responses with status 504, with 410, or with 503 and
+    /// `x-egress-full`, by which the endpoint reports that this attempt was not executed.
     pub outcome: AttemptOutcome,
     /// Whether the endpoint reports that the message is completed.
     pub message_completed: bool,
-    /// The load report of the answer.
+    /// The load report of the response.
     pub load: LoadReport,
-    /// For the answer to an abandoned attempt: the endpoint, whose limit alone the answer affects. `None`
-    /// otherwise.
+    /// The endpoint of an abandoned attempt whose response arrived late; `None` for an attempt in flight.
     pub abandoned_endpoint: Option<u32>,
 }
 
 impl FinishedAttempt {
-    /// Creates a result whose answer carries no further information.
+    /// Creates the result of an attempt without a response, or with one that carries no further information.
     pub fn new(id: AttemptId, outcome: AttemptOutcome) -> FinishedAttempt {
         FinishedAttempt {
             id,
--- a/crates/platform/src/core/connection_pool/receive.rs
+++ b/crates/platform/src/core/connection_pool/receive.rs
@@ -1,4 +1,4 @@
-//! Bytes received from endpoints, and the outcomes of attempts that follow from them.
+//! Handles bytes received from endpoints, and derives the outcomes of attempts from them.
 
 use super::connection::ConnectionState;
 use super::{response, CloseReason, ConnectionId, ConnectionPool, FinishedAttempt, LoadReport};
@@ -9,7 +9,7 @@
 use linnetcart_http::{parse_response, EarlyStatus, ParsedResponse, Persistence, ResponseHead};
 
 impl ConnectionPool {
-    /// Handles received bytes. Returns an attempt's result once it is known.
+    /// Handles received bytes. Returns the result of an attempt once it is known.
     pub fn receive(
         &mut self,
         id: ConnectionId,
@@ -21,10 +21,10 @@
         match *connection.state() {
             ConnectionState::Abandoned { attempt, .. } => {
                 connection.response.extend_from_slice(bytes);
-                self.late_response(id, attempt, settings)
+                self.evaluate_late_response(id, attempt, settings)
             }
             ConnectionState::Connecting { .. } | ConnectionState::Idle { .. } => {
-                // No request is outstanding: the bytes are either the rest of a body or noise.
+                // No request is outstanding: the bytes are the rest of a response body, or unexpected.
                 if bytes.len() > connection.body_remaining {
                     self.close(id, CloseReason::UnexpectedBytes);
                 } else {
@@ -34,17 +34,17 @@
             }
             ConnectionState::InUse { first_byte_at } => {
                 if first_byte_at.is_none() {
-                    connection.first_byte(now);
+                    connection.first_byte_received(now);
                     self.reuse_policy.record_call(now, connection.idle_before, CallResult::Answered);
                 }
                 connection.response.extend_from_slice(bytes);
-                self.response(id, now, settings)
+                self.evaluate_response(id, now, settings)
             }
         }
     }
 
-    /// Evaluates the answer to an attempt in flight.
-    fn response(
+    /// Evaluates the bytes of the response to an attempt in flight.
+    fn evaluate_response(
         &mut self,
         id: ConnectionId,
         now: Time,
@@ -58,12 +58,12 @@
                 self.close(id, CloseReason::MalformedResponse);
                 Some(FinishedAttempt::new(attempt, response::outcome_of_malformed(status)))
             }
-            ParsedResponse::Head(head) => self.response_head(id, attempt, &head, now, settings),
+            ParsedResponse::Head(head) => self.evaluate_response_head(id, attempt, &head, now, settings),
         }
     }
 
-    /// Evaluates the complete head of an answer to an attempt in flight.
-    fn response_head(
+    /// Evaluates the complete head of the response to an attempt in flight.
+    fn evaluate_response_head(
         &mut self,
         id: ConnectionId,
         attempt: AttemptId,
@@ -73,12 +73,12 @@
     ) -> Option<FinishedAttempt> {
         let connection = self.connections.get_mut(&id)?;
         let body_received = connection.response.len() - head.length;
-        // A damaged answer counts as possibly executed, whatever its status. A status that says otherwise is
-        // believed only when the answer is complete.
+        // A truncated response counts as possibly executed, whatever its status. A status other than 200 is
+        // therefore evaluated only once the response is complete.
         if head.status != 200 && head.body.is_some_and(|length| length > body_received) {
             return None;
         }
-        let meaning = response::interpret(head);
+        let interpretation = response::interpret(head);
         let load = response::load_report(head, settings);
         match head.body {
             Some(length) if head.persistence == Persistence::KeepAlive && length >= body_received => {
@@ -91,17 +91,17 @@
         }
         Some(FinishedAttempt {
             id: attempt,
-            outcome: meaning.outcome,
-            message_completed: meaning.message_completed,
+            outcome: interpretation.outcome,
+            message_completed: interpretation.message_completed,
             load,
             abandoned_endpoint: None,
         })
     }
 
-    /// Evaluates the answer to an abandoned attempt. A rejection affects the endpoint's limit; a status line
-    /// with 200 means that the message is delivered, although the attempt was cancelled. Other answers are
-    /// ignored.
-    fn late_response(
+    /// Evaluates the response to an abandoned attempt. A rejection affects the endpoint's limit; a status
+    /// line that reads 200 means that the message was delivered, although the attempt was cancelled. Any
+    /// other response is ignored.
+    fn evaluate_late_response(
         &mut self,
         id: ConnectionId,
         attempt: AttemptId,
--- a/crates/platform/src/core/connection_pool/tests.rs
+++ b/crates/platform/src/core/connection_pool/tests.rs
@@ -33,7 +33,7 @@
     let Acquired::Connecting(id) = pool.acquire(attempt(1), ENDPOINT, address(), START) else {
         panic!("a new connection")
     };
-    pool.sent(id, 10);
+    pool.request_queued(id, 10);
     (pool, id)
 }
 
@@ -85,7 +85,7 @@
         pool.disconnected(id, 10, START).is_none()
             && pool.connect_failed(id, ConnectFailure::Remote).is_none()
     );
-    pool.sent(id, 10);
+    pool.request_queued(id, 10);
     assert_eq!((pool.take_closed(), pool.next_deadline()), (vec![], Time::MAX));
 }
 
@@ -94,7 +94,7 @@
     let mut pool = pool(2);
     pool.acquire(attempt(1), ENDPOINT, address(), START);
     assert_eq!(pool.next_deadline(), START + SECOND);
-    assert!(pool.close_overdue(START + SECOND - 1).is_empty());
-    let finished = pool.close_overdue(START + SECOND);
+    assert!(pool.close_timed_out(START + SECOND - 1).is_empty());
+    let finished = pool.close_timed_out(START + SECOND);
     assert_eq!(finished, [FinishedAttempt::new(attempt(1), AttemptOutcome::NoConnection)]);
 }
--- a/crates/platform/src/core/counters.rs
+++ b/crates/platform/src/core/counters.rs
@@ -1,4 +1,4 @@
-//! Counters since the start and sizes of the tables, for the log.
+//! Counters since the start of the process and present table sizes, for the statistics in the log.
 
 use linnetcart::AttemptOutcome;
 
@@ -7,32 +7,32 @@
 pub struct Counters {
     /// Messages accepted.
     pub accepted: u64,
-    /// Messages rejected without being accepted.
+    /// Messages rejected instead of accepted.
     pub rejected: u64,
     /// Requests that are not valid submissions.
     pub invalid_requests: u64,
     /// Attempts whose request was queued.
     pub attempts_sent: u64,
-    /// Messages and attempts that were undone because they could not be recorded.
+    /// Acceptances and attempts that were undone, mostly because their records could not be written.
     pub unrecorded: u64,
     /// Attempts by outcome.
     pub outcomes: OutcomeCounts,
-    /// Connects begun to endpoints.
+    /// Connects to endpoints that were started.
     pub connects: u64,
     /// Status notifications by the outcome that they report.
     pub notifications: NotificationCounts,
-    /// Messages that a previous process accepted.
+    /// Messages recovered from the journal of a previous process.
     pub recovery: RecoveryCounts,
 }
 
-/// Attempts by outcome.
+/// Numbers of attempts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
     /// Delivered.
     pub served: u64,
-    /// Answered with an error or with a malformed answer.
+    /// Answered with an error status or a malformed response.
     pub error: u64,
-    /// Rejected, certainly not executed.
+    /// Rejected by the endpoint (429 or 503), certainly not executed.
     pub rejected: u64,
     /// Not answered in time.
     pub timed_out: u64,
@@ -44,7 +44,8 @@
     pub cancelled: u64,
     /// Certainly not executed: not sent, or answered by 504, by 410 or by 503 with `x-egress-full`.
     pub not_sent: u64,
-    /// Not begun, because this machine could not.
+    /// Not sent because of a condition of this process or machine, such as no free connection or an
+    /// unwritable journal.
     pub local_fault: u64,
 }
 
@@ -66,19 +67,19 @@
     }
 }
 
-/// Status notifications by the outcome that they report.
+/// Numbers of status notifications by the outcome that they report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NotificationCounts {
-    /// The message failed.
+    /// Messages that failed.
     pub failed: u64,
-    /// The message is returned.
+    /// Messages that were returned to their sender.
     pub returned: u64,
 }
 
-/// Messages that a previous process accepted.
+/// Numbers of messages that were accepted by a previous process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryCounts {
-    /// Found in the journal.
+    /// Recovered from the journal.
     pub recovered: u64,
     /// Recovered messages that were certainly never executed.
     pub untried: u64,
@@ -88,7 +89,7 @@
     pub given_up: u64,
 }
 
-/// Present numbers of entries in the tables.
+/// Present numbers of entries in the core's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sizes {
     /// Messages in flight.
@@ -101,6 +102,6 @@
     pub clients: usize,
     /// Connections to endpoints.
     pub upstream_connections: usize,
-    /// Attempts that have a connection.
+    /// Attempts to which a connection is assigned.
     pub attempts: usize,
 }
--- a/crates/platform/src/core/decisions.rs
+++ b/crates/platform/src/core/decisions.rs
@@ -39,7 +39,7 @@
         now >= self.initial_sync_until
     }
 
-    /// Returns the time limit of the initial sync, in monotonic time.
+    /// Returns the monotonic time at which the time limit of the initial sync ends.
     pub fn initial_sync_until(&self) -> Time {
         self.initial_sync_until
     }
--- a/crates/platform/src/core/delivery.rs
+++ b/crates/platform/src/core/delivery.rs
@@ -177,7 +177,7 @@
         self.in_flight.attempt_sent(id.message, sent);
         self.effects.record(Record::AttemptSent { message: id.message, attempt: sent });
         self.counters.attempts_sent += 1;
-        self.pool.sent(connection, bytes.len());
+        self.pool.request_queued(connection, bytes.len());
         self.effects.attempt(id, connection, bytes.into());
         let recovery = self.recovery.attempted(id.message);
         self.report_recovery(recovery);
--- a/crates/platform/src/core/iteration.rs
+++ b/crates/platform/src/core/iteration.rs
@@ -38,7 +38,7 @@
     /// Ends attempts whose connection or own deadline has timed out.
     fn expire(&mut self) {
         let now = self.clock.now();
-        for finished in self.pool.close_overdue(now) {
+        for finished in self.pool.close_timed_out(now) {
             self.finish_attempt(finished);
         }
         for id in self.attempts.expired(now) {
@@ -74,7 +74,7 @@
         let accepted = self.admission.accept_all();
         self.answer_decided(accepted);
         for id in self.attempts.ids() {
-            if !self.pool.is_sent(id) {
+            if !self.pool.is_request_queued(id) {
                 self.cancel_attempt(id, AttemptOutcome::Cancelled);
             }
         }
--- a/crates/platform/src/core/recovery.rs
+++ b/crates/platform/src/core/recovery.rs
@@ -116,7 +116,7 @@
     }
 
     fn restore_message(&mut self, number: u32, mut pending: PendingMessage) {
-        let deadline = self.clock.at_wall(pending.message.wall_deadline);
+        let deadline = self.clock.to_monotonic(pending.message.wall_deadline);
         let class_is_unknown = usize::from(pending.message.class) >= self.settings.class_names.len()
             && pending.completion == Completion::Uncompleted;
         if class_is_unknown {
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -1,7 +1,7 @@
 //! From a client's request to its answer: the part of an iteration that admits messages.
 
 use super::admission::{AdmissionDecision, Answer, Requester};
-use super::client_connections::{ClientId, IdlePolicy, OverdueClient, RequestEvent};
+use super::client_connections::{ClientId, ExpiredClient, IdlePolicy, RequestEvent};
 use super::decisions::accepted_message;
 use super::effects::Output;
 use super::in_flight::{IdMatch, UncompletedMessage};
@@ -223,10 +223,10 @@
             return;
         }
         let idle = if self.shutdown.closes_after_answer() { IdlePolicy::Close } else { IdlePolicy::Keep };
-        for client in self.clients.overdue(self.clock.now(), idle) {
+        for client in self.clients.expired(self.clock.now(), idle) {
             match client {
-                OverdueClient::Idle(id) => self.close_client(id, ClientCloseReason::Idle),
-                OverdueClient::InRequest(id) => self.reject_invalid(id, RequestError::TimedOut),
+                ExpiredClient::Idle(id) => self.close_client(id, ClientCloseReason::Idle),
+                ExpiredClient::InRequest(id) => self.reject_invalid(id, RequestError::TimedOut),
             }
         }
         if self.shutdown.close_listener() {
--- a/crates/platform/src/core/unrecorded.rs
+++ b/crates/platform/src/core/unrecorded.rs
@@ -104,7 +104,7 @@
             let message = message.message().id_text().into_owned();
             self.effects.event(CoreEvent::AttemptUndone { message, attempt: id.number });
         }
-        self.pool.release_unsent(id, length, self.clock.now());
+        self.pool.retract_request(id, length, self.clock.now());
         self.finish_attempt(FinishedAttempt::new(id, AttemptOutcome::LocalFault));
     }
 
