--- a/crates/platform/src/core/admission/tests.rs
+++ b/crates/platform/src/core/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions and the bytes of answers.
+//! Decisions on submitted messages, and the HTTP responses to clients.
 
 use super::*;
 
@@ -31,10 +31,14 @@
             decision(3, Answer::Failed, &[30]),
         ]
     );
-    assert_eq!(decided.to_execute, [Action::WakeUp { at: 9 }], "the others are consumed by the answers");
+    assert_eq!(
+        decided.to_execute,
+        [Action::WakeUp { at: 9 }],
+        "the actions on undecided messages are replaced by their answers"
+    );
     assert!(
         !admission.awaits_decision(1) && admission.decide(actions.to_vec()).admissions.is_empty(),
-        "once"
+        "each message is decided once"
     );
 }
 
@@ -59,17 +63,18 @@
     let accepted =
         AdmissionDecision { message: 1, answer: Answer::Accepted, requesters: vec![requester(10)] };
     assert_eq!(admission.accept_all(), [accepted]);
-    assert!(admission.accept_all().is_empty(), "once");
+    assert!(admission.accept_all().is_empty(), "each message is accepted once");
 }
 
 #[test]
-fn answer_bytes_unchanged() {
+fn answer_encoded_as_http_response() {
     let text = |answer: Answer, persistence| String::from_utf8(answer.encode(persistence)).expect("text");
     let rejected = text(Answer::Rejected { retry_after: 1_500_000_000 }, Persistence::KeepAlive);
     assert!(rejected.starts_with("HTTP/1.1 503 ") && rejected.contains("\r\nRetry-After: 1.500\r\n"));
     assert!(!rejected.contains("Connection: close"), "{rejected}");
-    let unsaid = text(Answer::Rejected { retry_after: 0 }, Persistence::Close);
-    assert!(!unsaid.contains("Retry-After") && unsaid.contains("\r\nConnection: close\r\n"), "{unsaid}");
+    let without_delay = text(Answer::Rejected { retry_after: 0 }, Persistence::Close);
+    let closes = without_delay.contains("\r\nConnection: close\r\n");
+    assert!(!without_delay.contains("Retry-After") && closes, "{without_delay}");
     for (answer, status) in [(Answer::Ready, 200), (Answer::Accepted, 202), (Answer::Failed, 500)] {
         let bytes = text(answer, Persistence::KeepAlive);
         assert!(bytes.starts_with(&format!("HTTP/1.1 {status} ")) && bytes.ends_with("\r\n\r\n"), "{bytes}");
@@ -77,7 +82,7 @@
 }
 
 #[test]
-fn invalid_request_answers_unchanged() {
+fn invalid_request_answered_with_status_and_reason() {
     use linnetcart_http::RequestError as HttpError;
     for (error, status, body) in [
         (RequestError::Malformed(HttpError::Unreadable), 400, "the head cannot be read as HTTP/1.1\n"),
--- a/crates/platform/src/core/attempts/tests.rs
+++ b/crates/platform/src/core/attempts/tests.rs
@@ -1,4 +1,4 @@
-//! Deadlines and wake-ups of attempts.
+//! Deadlines of attempts, and the wake-ups for pending ones.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     assert_eq!(attempts.next_wake(10), 50);
     assert!(attempts.expired(49).is_empty());
     assert_eq!(attempts.expired(50), [id(2)]);
-    assert!(attempts.remove(id(2)).is_some() && attempts.remove(id(2)).is_none(), "once");
+    assert!(attempts.remove(id(2)).is_some() && attempts.remove(id(2)).is_none(), "removed once");
     assert_eq!(attempts.next_wake(10), 100);
 }
 
@@ -30,6 +30,6 @@
     assert_eq!(
         (attempts.pending(), attempts.next_wake(10)),
         (vec![], 100),
-        "a started attempt ignores the cooldown"
+        "a cooldown does not delay a started attempt"
     );
 }
--- a/crates/platform/src/core/client_connections/tests.rs
+++ b/crates/platform/src/core/client_connections/tests.rs
@@ -4,31 +4,31 @@
 use super::ExpiredClient::{Idle, InRequest};
 use super::*;
 
-const ASK: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
+const READY_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
 
 #[test]
-fn client_beyond_capacity_evicts_longest_silent_never_one_with_request() {
+fn client_beyond_capacity_evicts_idle_one_never_one_with_request() {
     let mut clients = ClientConnections::new(3, 0);
     for (id, at) in [(1, 10), (2, 20), (3, 30)] {
         assert_eq!(clients.opened(id, at), None);
     }
-    // The first has a request, the second was answered, the third never sent a byte.
-    clients.receive(1, ASK, 40);
+    // The first has an outstanding request, the second was answered, the third never sent a byte.
+    clients.receive(1, READY_REQUEST, 40);
     clients.mark_awaiting_answer(1);
-    clients.receive(2, ASK, 40);
+    clients.receive(2, READY_REQUEST, 40);
     clients.answered(2, 50);
-    assert_eq!(clients.opened(4, 60), Some(3), "never sent a request, although it is newer than the second");
-    clients.receive(4, ASK, 70);
-    clients.mark_awaiting_answer(4);
-    assert_eq!(clients.opened(5, 80), Some(5), "a connection answered just now is not evicted");
     assert_eq!(
-        clients.opened(6, 50 + EVICTABLE_IDLE_TIME),
-        Some(2),
-        "evictable once it was idle for long enough"
+        clients.opened(4, 60),
+        Some(3),
+        "without any request it is evicted first, although it is newer than the second"
     );
-    clients.receive(6, ASK, 60 + EVICTABLE_IDLE_TIME);
+    clients.receive(4, READY_REQUEST, 70);
+    clients.mark_awaiting_answer(4);
+    assert_eq!(clients.opened(5, 80), Some(5), "a connection answered just now is not evicted");
+    assert_eq!(clients.opened(6, 50 + EVICTABLE_IDLE_TIME), Some(2), "evictable after `EVICTABLE_IDLE_TIME`");
+    clients.receive(6, READY_REQUEST, 60 + EVICTABLE_IDLE_TIME);
     clients.mark_awaiting_answer(6);
-    assert_eq!(clients.opened(7, 100 * EVICTABLE_IDLE_TIME), Some(7), "none with a request");
+    assert_eq!(clients.opened(7, 100 * EVICTABLE_IDLE_TIME), Some(7), "all others have outstanding requests");
     assert_eq!(clients.len(), 3);
 }
 
@@ -37,23 +37,23 @@
     let mut clients = ClientConnections::new(2, 0);
     assert_eq!(clients.opened(1, 10), None);
     assert_eq!(clients.opened(2, 20), None);
-    // An iteration has read the first's bytes, which are incomplete; the second's await the next iteration.
+    // An iteration has parsed the first's incomplete request; the second's request is not parsed yet.
     clients.receive(1, b"POST /a", 30);
     clients.take_unread();
-    clients.receive(2, ASK, 30);
+    clients.receive(2, READY_REQUEST, 30);
     assert_eq!(clients.opened(3, 30), Some(1), "the one without unread bytes");
-    clients.receive(3, ASK, 30);
+    clients.receive(3, READY_REQUEST, 30);
     assert_eq!(clients.opened(4, 30), Some(4), "both others have unread requests");
 }
 
 #[test]
-fn client_silent_or_with_incomplete_request_overdue() {
+fn client_idle_or_with_incomplete_request_expires() {
     let mut clients = ClientConnections::new(9, 0);
     (1..=4).for_each(|id| assert_eq!(clients.opened(id, 0), None));
     clients.receive(2, b"POST /a", REQUEST_TIMEOUT - 1);
-    clients.receive(3, ASK, 0);
+    clients.receive(3, READY_REQUEST, 0);
     clients.mark_awaiting_answer(3);
-    clients.receive(4, ASK, 0);
+    clients.receive(4, READY_REQUEST, 0);
     clients.answered(4, 0);
     assert_eq!(clients.expired(REQUEST_TIMEOUT, IdlePolicy::Keep), [Idle(1), InRequest(2)]);
     assert_eq!(clients.expired(IDLE_TIMEOUT, IdlePolicy::Keep), [Idle(1), InRequest(2), Idle(4)]);
--- a/crates/platform/src/core/connection_pool/tests.rs
+++ b/crates/platform/src/core/connection_pool/tests.rs
@@ -1,4 +1,4 @@
-//! Transitions of a connection, one event at a time.
+//! State transitions of connections, and the outcomes of attempts that follow from them.
 
 use super::*;
 use crate::core::clock::MILLISECOND;
@@ -38,15 +38,15 @@
 }
 
 #[test]
-fn connection_served_becomes_idle_and_is_reused_once_settled() {
+fn connection_reused_only_after_delay_since_its_response() {
     let (mut pool, id) = pool_with_sent();
     let finished = pool.receive(id, SERVED, START, &settings()).expect("an outcome");
     assert_eq!((finished.id, finished.outcome), (attempt(1), AttemptOutcome::Served));
     assert!(finished.message_completed);
-    let unsettled = pool.acquire(attempt(2), ENDPOINT, address(), START);
-    assert!(matches!(unsettled, Acquired::Connecting(other) if other != id), "not settled yet");
-    let settled = pool.acquire(attempt(3), ENDPOINT, address(), START + 10 * MILLISECOND);
-    assert_eq!(settled, Acquired::Idle(id));
+    let before_delay = pool.acquire(attempt(2), ENDPOINT, address(), START);
+    assert!(matches!(before_delay, Acquired::Connecting(other) if other != id), "the response just arrived");
+    let after_delay = pool.acquire(attempt(3), ENDPOINT, address(), START + 10 * MILLISECOND);
+    assert_eq!(after_delay, Acquired::Idle(id));
 }
 
 #[test]
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn attempt_cancelled_before_its_bytes_is_unsent_afterwards_abandoned() {
+fn attempt_cancelled_before_request_is_unsent_after_request_is_abandoned() {
     let mut connecting = pool(2);
     connecting.acquire(attempt(1), ENDPOINT, address(), START);
     assert_eq!(connecting.cancel(attempt(1), START), Cancelled::Unsent);
@@ -70,7 +70,7 @@
     let (mut pool, id) = pool_with_sent();
     assert_eq!(pool.cancel(attempt(1), START), Cancelled::Abandoned);
     assert_eq!((pool.take_abandoned(), pool.take_closed()), (vec![id], vec![]));
-    assert_eq!(pool.cancel(attempt(1), START), Cancelled::Unsent, "only once");
+    assert_eq!(pool.cancel(attempt(1), START), Cancelled::Unsent, "an abandoned attempt has no connection");
     let late = pool.receive(id, SERVED, START, &settings()).expect("a late outcome");
     assert_eq!((late.id, late.abandoned_endpoint), (attempt(1), Some(ENDPOINT)));
 }
--- a/crates/platform/src/core/decisions/tests.rs
+++ b/crates/platform/src/core/decisions/tests.rs
@@ -1,4 +1,4 @@
-//! When a decision is due.
+//! When decisions are due, and the time limit of the initial sync.
 
 use super::*;
 use linnetcart::Settings;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn decision_cycle_stopped_forgets_events_and_wake_up() {
+fn decision_cycle_stopped_drops_events_and_wake_up() {
     let mut cycle = cycle();
     cycle.push(Event::ClientCancelled { message: 1 });
     cycle.stop();
--- a/crates/platform/src/core/deduplication/tests.rs
+++ b/crates/platform/src/core/deduplication/tests.rs
@@ -1,4 +1,4 @@
-//! Which ids are cached.
+//! Capacity, expiry and lookup of cached ids.
 
 use super::*;
 use crate::core::tests::fixtures;
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! The core against scripted bytes in virtual time.
+//! Tests of the whole core: scripted bytes from clients, endpoints and discovery, in virtual time.
 
 mod admission;
 mod attempts;
--- a/crates/platform/src/core/tests/admission.rs
+++ b/crates/platform/src/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and the answers to them.
+//! Requests of clients and the responses to them.
 
 use super::harness::*;
 
@@ -7,27 +7,36 @@
     let mut harness = Harness::new();
     assert_eq!(harness.submit("order", "m", ""), 202);
     let kinds: Vec<u8> = harness.journal.iter().map(|r| r.encode().kind).collect();
-    assert_eq!(kinds, [6, 1, 2], "names, accepted, then sent");
+    assert_eq!(kinds, [6, 1, 2], "the records names, accepted and attempt sent");
     let text = String::from_utf8(harness.first_attempt_bytes().to_vec()).unwrap();
     assert!(text.contains("X-Txn: m\r\nIdempotency-Key: t-m\r\n") && text.ends_with("\r\n\r\nhi"), "{text}");
 }
 
 #[test]
 fn invalid_request_rejected_and_no_part_accepted() {
-    let good = "POST /order HTTP/1.1\r\nX-Txn: m\r\nX-Remaining-Ms: 9000\r\nX-Route-To: dest=3\r\n";
+    let valid_head = "POST /order HTTP/1.1\r\nX-Txn: m\r\nX-Remaining-Ms: 9000\r\nX-Route-To: dest=3\r\n";
     let mut harness = Harness::new();
-    let both = format!("{good}Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{good}\r\n");
-    assert_eq!(harness.send_request(both.as_bytes()), 411);
-    let two = format!("{good}\r\n{}\r\n", good.replace("X-Txn: m", "X-Txn: n"));
-    assert_eq!(harness.send_request(two.as_bytes()), 400, "one request at a time");
-    assert_eq!(harness.send_request(good.replace("dest=3", "dest=4").as_bytes()), 0, "an incomplete request");
-    assert_eq!(harness.send_request(format!("{}\r\n", good.replace("dest=3", "dest=4")).as_bytes()), 404);
+    let two_framings = format!(
+        "{valid_head}Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{valid_head}\r\n"
+    );
+    assert_eq!(harness.send_request(two_framings.as_bytes()), 411, "request smuggling");
+    let pipelined = format!("{valid_head}\r\n{}\r\n", valid_head.replace("X-Txn: m", "X-Txn: n"));
+    assert_eq!(harness.send_request(pipelined.as_bytes()), 400, "one request at a time");
+    assert_eq!(
+        harness.send_request(valid_head.replace("dest=3", "dest=4").as_bytes()),
+        0,
+        "an incomplete request"
+    );
+    assert_eq!(
+        harness.send_request(format!("{}\r\n", valid_head.replace("dest=3", "dest=4")).as_bytes()),
+        404
+    );
     assert_eq!(harness.send_request(b"\x00\xff\x00\xff"), 400);
     assert!(harness.attempts().is_empty() && !harness.has_record(|r| !matches!(r, Record::Names { .. })));
-    assert_eq!(harness.send_request(format!("{good}\r\n").as_bytes()), 202);
-    assert_eq!(harness.send_request(format!("{good}\r\n").as_bytes()), 202, "the same message again");
+    assert_eq!(harness.send_request(format!("{valid_head}\r\n").as_bytes()), 202);
+    assert_eq!(harness.send_request(format!("{valid_head}\r\n").as_bytes()), 202, "the same message again");
     assert_eq!(
-        harness.send_request(format!("{good}Content-Length: 1\r\n\r\nx").as_bytes()),
+        harness.send_request(format!("{valid_head}Content-Length: 1\r\n\r\nx").as_bytes()),
         409,
         "a different message with its id"
     );
@@ -42,23 +51,23 @@
 }
 
 #[test]
-fn message_beyond_table_or_journal_bound_rejected() {
+fn message_beyond_table_or_journal_capacity_rejected() {
     let mut harness = Harness::with_journal(vec![], 100 * SECOND, 4);
-    let taken = (0..9).filter(|n| harness.submit("status", &format!("m{n}"), "") == 202).count();
-    assert!(taken <= 4, "{taken} of four");
+    let accepted = (0..9).filter(|n| harness.submit("status", &format!("m{n}"), "") == 202).count();
+    assert!(accepted <= 4, "{accepted} accepted with a capacity of 4");
     let mut harness = Harness::new();
-    let big = "x".repeat(60_000);
-    let mut taken = 0;
+    let body = "x".repeat(60_000);
+    let mut accepted = 0;
     for n in 0..10 {
         let head = format!(
             "POST /status HTTP/1.1\r\nX-Txn: m{n}\r\nX-Remaining-Ms: 9000\r\nX-Route-To: dest=3\r\n\
-             Content-Length: 60000\r\n\r\n{big}"
+             Content-Length: 60000\r\n\r\n{body}"
         );
         let status = harness.send_request(head.as_bytes());
         assert!(status == 202 || status == 503);
-        taken += usize::from(status == 202);
+        accepted += usize::from(status == 202);
     }
-    assert_eq!(taken, 3, "a fifth of one megabyte");
-    let bytes: usize = harness.core.snapshot().iter().map(|r| r.encode().payload.len() + 10).sum();
-    assert!(bytes < 200_000);
+    assert_eq!(accepted, 3, "messages in flight may take a fifth of one megabyte");
+    let snapshot_bytes: usize = harness.core.snapshot().iter().map(|r| r.encode().payload.len() + 10).sum();
+    assert!(snapshot_bytes < 200_000);
 }
--- a/crates/platform/src/core/tests/attempts.rs
+++ b/crates/platform/src/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts, by what their connections do.
+//! Outcomes of attempts, as derived from responses, disconnects and timeouts.
 
 use super::harness::*;
 
@@ -87,8 +87,8 @@
 fn retry_after_for_abandoned_attempt_respected() {
     let mut harness = Harness::new();
     let first = harness.abandon_attempt();
-    assert_eq!(harness.write_ended, [first], "the slower attempt is cancelled");
-    assert!(!harness.closed.contains(&first), "its answer may be on its way");
+    assert_eq!(harness.write_shutdown, [first], "the slower attempt is cancelled");
+    assert!(!harness.closed.contains(&first), "its response may still arrive");
     harness.respond(first, b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 1500\r\nContent-Length: 0\r\n\r\n");
     assert!(harness.closed.contains(&first));
     harness.submit("order", "b", "");
@@ -114,24 +114,24 @@
         let mut harness = Harness::new();
         harness.submit("status", "a", "");
         let first = harness.attempts()[0].connection;
-        // The attempt takes too long and is cancelled in favour of another.
+        // The first attempt is cancelled, and another is started in its place.
         harness.core.cancel_attempt(AttemptId { message: 1, number: 0 }, AttemptOutcome::Cancelled);
         harness.run_for(100 * MILLISECOND);
         let second = harness.attempts()[1].connection;
         harness.respond(first, b"HTTP/1.1 200");
         let is_completion = |record: &Record| matches!(record, Record::Completed { .. });
         assert!(
-            harness.write_ended == [first] && !harness.has_record(is_completion),
+            harness.write_shutdown == [first] && !harness.has_record(is_completion),
             "the status line is incomplete"
         );
         harness.respond(first, rest.as_bytes());
-        assert_eq!(harness.write_ended, [first, second], "the other attempt is cancelled");
+        assert_eq!(harness.write_shutdown, [first, second], "the other attempt is cancelled");
         let is_delivery =
             |record: &Record| matches!(record, Record::Completed { outcome: FinalOutcome::Delivered, .. });
         assert!(harness.has_record(is_delivery));
         assert_eq!(harness.core.sizes().in_flight, 0, "its message is settled");
         harness.run_for(10 * SECOND);
-        assert_eq!(harness.attempts().len(), 2, "nothing is sent afterwards");
+        assert_eq!(harness.attempts().len(), 2, "no attempt follows the delivery");
         assert_eq!(harness.core.counters().notifications, NotificationCounts::default());
     }
 }
@@ -144,7 +144,7 @@
         harness.submit("order", "a", "");
         let connection = harness.attempts()[0].connection;
         harness.run_for(8 * SECOND);
-        // The answer is read before the iteration that would end the message.
+        // The response is received before the iteration that would complete the message at its deadline.
         harness.now = deadline - before;
         harness.core.advance_clock(harness.now);
         harness.respond(connection, SERVED.as_bytes());
--- a/crates/platform/src/core/tests/connections.rs
+++ b/crates/platform/src/core/tests/connections.rs
@@ -1,34 +1,35 @@
-//! The connections on which attempts are sent.
+//! Reuse of connections, and attempts whose endpoint changes while their connection is being established.
 
 use super::harness::*;
 
 #[test]
-fn connection_reused_when_clean_and_settled_never_after_noise() {
-    for (answer, later, is_reused) in [
+fn connection_reused_after_exact_response_never_after_unexpected_bytes() {
+    for (response, later_bytes, is_reused) in [
         (SERVED.to_owned(), "", true),
         (format!("{SERVED}{SERVED}"), "", false),
         (SERVED.to_owned(), SERVED, false),
     ] {
         let mut harness = Harness::new();
-        harness.connection_in_use(SERVED);
+        harness.serve_ten_messages(SERVED);
         harness.submit("status", "a", "");
         let before = harness.attempts().len();
         let connection = harness.attempts()[before - 1].connection;
-        harness.respond(connection, answer.as_bytes());
-        if !later.is_empty() {
-            harness.respond(connection, later.as_bytes());
+        harness.respond(connection, response.as_bytes());
+        if !later_bytes.is_empty() {
+            harness.respond(connection, later_bytes.as_bytes());
         }
         harness.run_for(20 * MILLISECOND);
-        // Both endpoints are equal, so one of four attempts uses the connection unless it must not be reused.
+        // The endpoints are equally good, so one of the four attempts uses the connection if it may be
+        // reused.
         for n in 0..4 {
             harness.submit("status", &format!("b{n}"), "");
         }
         let used = harness.attempts()[before..].iter().any(|attempt| attempt.connection == connection);
-        assert_eq!(used, is_reused, "{answer:?} {later:?}");
-        assert_eq!(harness.outcomes().served, 11, "each answer delivers one message");
+        assert_eq!(used, is_reused, "{response:?} {later_bytes:?}");
+        assert_eq!(harness.outcomes().served, 11, "each response delivers one message");
     }
     let mut harness = Harness::new();
-    let connection = harness.connection_in_use(SERVED);
+    let connection = harness.serve_ten_messages(SERVED);
     harness.run_for(7 * SECOND);
     assert!(!harness.closed.contains(&connection));
     harness.run_for(SECOND);
@@ -63,8 +64,8 @@
     let id = harness.core.attempts.ids()[0];
     harness.core.cancel_attempt(id, AttemptOutcome::Cancelled);
     harness.core.put_closes_first();
-    let made = harness.core.take_outputs().into_iter().filter(is_endpoint_connect);
-    assert_eq!(made.count(), 0);
+    let connects = harness.core.take_outputs().into_iter().filter(is_endpoint_connect);
+    assert_eq!(connects.count(), 0);
 }
 
 #[test]
@@ -88,7 +89,7 @@
     assert_eq!(
         (core.counters().accepted, core.sizes().attempts),
         (54, 15),
-        "three quarters of 20 descriptors"
+        "attempts get three quarters of the 20 connections to endpoints"
     );
     assert_eq!(core.counters().outcomes, OutcomeCounts::default());
 }
@@ -113,7 +114,7 @@
 #[test]
 fn connection_with_body_remaining_carries_no_other_attempt() {
     let mut harness = Harness::new();
-    harness.connection_in_use(SERVED);
+    harness.serve_ten_messages(SERVED);
     harness.submit("status", "a", "");
     let connection = harness.attempts().last().unwrap().connection;
     harness.respond(connection, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhal");
@@ -128,5 +129,5 @@
         "{attempts:?}, none on {connection}"
     );
     harness.run_for(50 * MILLISECOND);
-    assert!(harness.closed.contains(&connection), "closed after the time limit for its body");
+    assert!(harness.closed.contains(&connection), "closed after the time limit for the rest of its response");
 }
--- a/crates/platform/src/core/tests/discovery.rs
+++ b/crates/platform/src/core/tests/discovery.rs
@@ -1,10 +1,10 @@
-//! The watch on the endpoint list, and the list.
+//! The watch on the endpoint list, changes of the list, and the initial sync.
 
 use super::harness::*;
 use crate::core::discovery::{EndpointList, WATCH_SILENCE_TIMEOUT};
 
 #[test]
-fn watch_silent_or_lost_opened_again() {
+fn watch_silent_or_disconnected_reopened() {
     let mut harness = Harness::new();
     let watch = harness.connect_discovery();
     assert!(harness.sent[0].bytes.starts_with(b"GET /v1/endpoints?follow=1&since=41 HTTP/1.1\r\n"));
@@ -21,7 +21,7 @@
     let request = harness.sent.last().unwrap();
     assert!(
         request.bytes.starts_with(b"GET /v1/endpoints?follow=1&since=50 "),
-        "changes since the last version"
+        "only changes since the last version are requested"
     );
 }
 
@@ -83,11 +83,11 @@
     endpoints.apply(&first, &config.settings, SECOND);
     let update = endpoints.apply(&second, &config.settings, SECOND);
     let Event::EndpointList { entries, .. } = update.event else { panic!("{:?}", update.event) };
-    let brief: Vec<_> = entries.iter().map(|e| (e.id, e.destination, e.kind, e.zone, e.status)).collect();
+    let listed: Vec<_> = entries.iter().map(|e| (e.id, e.destination, e.kind, e.zone, e.status)).collect();
     let removed = EndpointStatus::Removed;
     let ready = EndpointStatus::Ready;
     assert_eq!(
-        brief,
+        listed,
         [(1, 3, 0, 0, removed), (3, 4, 1, 1, ready), (2, 3, 0, 0, removed), (4, 4, 1, 1, ready)]
     );
     assert_eq!(update.stale, [1, 2]);
@@ -127,5 +127,9 @@
     );
     let journal = &harness.journal;
     let Record::Accepted { message, .. } = &journal[journal.len() - 2] else { panic!("{journal:?}") };
-    assert_eq!(message.wall_deadline, 109 * SECOND, "its time runs from its arrival");
+    assert_eq!(
+        message.wall_deadline,
+        109 * SECOND,
+        "the time remaining counts from the arrival of the request"
+    );
 }
--- a/crates/platform/src/core/tests/fixtures.rs
+++ b/crates/platform/src/core/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of several parts use.
+//! Configuration, messages and endpoint lists for the tests of several parts.
 
 use crate::config::Config;
 use crate::core::clock::MILLISECOND;
@@ -8,7 +8,7 @@
 pub const SECOND: Time = 1_000 * MILLISECOND;
 pub const DISCOVERY: &str = "127.0.0.1:8500";
 
-/// Returns a message for destination 3 without ordering key, deadline and body.
+/// Returns a message for destination 3 with an empty body, without ordering key and with deadline 0.
 pub fn message(id: &str) -> Message {
     Message {
         id: id.into(),
@@ -21,7 +21,8 @@
     }
 }
 
-/// Returns a configuration of three classes and two endpoints of destination 3.
+/// Returns a configuration with three classes (`status`, `change`, `order`) and two endpoints of destination
+/// 3. At most `max_in_flight` messages are in flight.
 pub fn config(max_in_flight: u32) -> Config {
     let class = |name: &str, effect: &str, fifo: bool| {
         serde_json::json!({"name": name, "idempotency": effect, "group": "all", "key_ttl_ns": 8 * SECOND,
@@ -52,12 +53,11 @@
     Config::read(file.to_string().as_bytes()).unwrap()
 }
 
-/// Returns an event that changes both endpoints, whose ports follow `base`.
+/// Returns a watch event that changes both endpoints; their ports become `base + 1` and `base + 2`.
 pub fn list_event(version: u64, zone: &str, kind: &str, group: u32, status: &str, base: u16) -> String {
     let entry = |n: u16| {
         serde_json::json!({"name": format!("s-{n}"), "address": format!("127.0.0.1:{}", base + n),
-            "zone": zone,
-            "type": kind, "group": group, "status": status, "weight": 0, "since_ms": 0})
+            "zone": zone, "type": kind, "group": group, "status": status, "weight": 0, "since_ms": 0})
     };
     serde_json::json!({"index": version, "snapshot": false, "endpoints": [entry(1), entry(2)]}).to_string()
 }
--- a/crates/platform/src/core/tests/harness.rs
+++ b/crates/platform/src/core/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The fixture of the core's tests: a core in virtual time, its journal and its outputs.
+//! The test harness: a core in virtual time with an in-memory journal, whose outputs are collected.
 
 pub use super::fixtures::{config, list_event, DISCOVERY, SECOND};
 pub use super::observations::*;
@@ -16,32 +16,33 @@
 use linnetcart_http::parse_request;
 
 pub const DISCOVERY_PORT: u16 = 8500;
-/// The answer of an endpoint that serves a message.
+/// The response of an endpoint that executed the message.
 pub const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// A core that needs more iterations than this at one moment never becomes idle.
+/// Maximum iterations at one moment; a core that needs more counts as never becoming idle.
 const MAX_ITERATIONS: usize = 20;
 
-/// A core in virtual time, with everything that it produced.
+/// A core in virtual time, and everything that it has output.
 pub struct Harness {
     pub core: Core,
     pub now: Time,
     pub journal: Vec<Record>,
-    /// No record can be written.
+    /// Whether writing records fails.
     pub journal_fails: bool,
-    /// Connections that the core requested and has not closed.
+    /// Remote addresses of the connections that the core requested and has not closed.
     pub connections: BTreeMap<ConnectionId, SocketAddr>,
     pub connected: BTreeSet<ConnectionId>,
     pub sent: Vec<UpstreamBytes>,
     pub answers: Vec<ClientBytes>,
     pub closed: Vec<ConnectionId>,
-    /// Connections on which the core sends no more.
-    pub write_ended: Vec<ConnectionId>,
+    /// Connections whose write side the core has shut down.
+    pub write_shutdown: Vec<ConnectionId>,
     watches: BTreeSet<ConnectionId>,
     next_client: ClientId,
 }
 
 impl Harness {
-    /// Starts with an empty journal and runs the initial sync with a silent discovery.
+    /// Starts a core with an empty journal at 100 s and runs through the initial sync without any event of
+    /// discovery.
     pub fn new() -> Harness {
         Harness::with_journal(vec![], 100 * SECOND, 40)
     }
@@ -53,12 +54,12 @@
     pub fn with_config(config: Config, journal: Vec<Record>, now: Time) -> Harness {
         let mut harness = Harness::starting(config, &journal, now);
         harness.process();
-        // Discovery is silent.
         harness.run_for(INITIAL_SYNC_TIMEOUT);
         harness
     }
 
-    /// Returns a core before its first iteration.
+    /// Creates a core from the records of a journal, before its first iteration. Monotonic and wall-clock
+    /// time are equal.
     pub fn starting(config: Config, journal: &[Record], now: Time) -> Harness {
         let stored: Vec<_> = journal.iter().map(Record::encode).collect();
         let settings = &config.settings;
@@ -75,19 +76,19 @@
             sent: vec![],
             answers: vec![],
             closed: vec![],
-            write_ended: vec![],
+            write_shutdown: vec![],
             watches: BTreeSet::new(),
             next_client: 1 << 40,
         }
     }
 
-    /// Iterates until nothing is due at this time. Connections to endpoints are established at once.
+    /// Iterates until nothing is due at the present time. Connects to endpoints succeed at once.
     pub fn process(&mut self) {
         for _ in 0..MAX_ITERATIONS {
             self.core.process(self.now);
             self.write_records();
             for output in self.core.take_outputs() {
-                self.carry_out(output);
+                self.execute(output);
             }
             let new = self.connect_endpoints();
             if new == 0 && self.core.next_wake() > self.now {
@@ -107,7 +108,7 @@
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::SendToClient(client, bytes) => {
                 self.answers.push(ClientBytes { client, bytes: bytes.to_vec() });
@@ -122,12 +123,12 @@
                 self.connections.remove(&id);
                 self.closed.push(id);
             }
-            Output::ShutdownWrite(id) => self.write_ended.push(id),
+            Output::ShutdownWrite(id) => self.write_shutdown.push(id),
             Output::CloseClient(_) | Output::StopListening => {}
         }
     }
 
-    /// Establishes the requested connections to endpoints and returns their number.
+    /// Establishes all requested connections to endpoints and returns their number.
     fn connect_endpoints(&mut self) -> usize {
         let discovery: SocketAddr = DISCOVERY.parse().unwrap();
         let is_new =
@@ -141,16 +142,16 @@
         new.len()
     }
 
-    /// Iterates whenever an iteration is due, for `span` nanoseconds.
-    pub fn run_for(&mut self, span: Time) {
-        let until = self.now + span;
+    /// Advances the time by `duration` nanoseconds and iterates whenever an iteration is due.
+    pub fn run_for(&mut self, duration: Time) {
+        let until = self.now + duration;
         while self.now < until {
             self.now = self.core.next_wake().clamp(self.now + MILLISECOND, until);
             self.process();
         }
     }
 
-    /// Submits a message and returns the status of the answer; 0 for none.
+    /// Submits a message with 9 s until its deadline. Returns the status of the response; 0 for none.
     pub fn submit(&mut self, class: &str, id: &str, key: &str) -> u16 {
         let request = format!(
             "POST /{class} HTTP/1.1\r\nX-Txn: {id}\r\nIdempotency-Key: t-{id}\r\nX-Remaining-Ms: 9000\r\n\
@@ -159,21 +160,21 @@
         self.send_request(request.as_bytes())
     }
 
-    /// Submits a message and returns its connection, which is requested and not established.
+    /// Submits a message and returns the connection of its attempt, which is not established yet.
     pub fn begin_connecting(&mut self) -> ConnectionId {
         self.core.client_opened(7);
         let head = "POST /order HTTP/1.1\r\nX-Txn: m\r\nX-Remaining-Ms: 9000\r\nX-Route-To: dest=3\r\n\r\n";
         self.core.client_received(7, head.as_bytes());
         self.core.process(self.now);
         self.write_records();
-        let begun = self.core.take_outputs().into_iter().find_map(|output| match output {
+        let requested = self.core.take_outputs().into_iter().find_map(|output| match output {
             Output::Connect(id, address) if address.port() != DISCOVERY_PORT => Some(id),
             _ => None,
         });
-        begun.expect("a connection")
+        requested.expect("a connection")
     }
 
-    /// Sends bytes from a new client and returns the status of the answer; 0 for none.
+    /// Sends bytes from a new client. Returns the status of the response; 0 for none.
     pub fn send_request(&mut self, bytes: &[u8]) -> u16 {
         self.next_client += 1;
         let client = self.next_client;
@@ -184,7 +185,7 @@
         answer.map_or(0, |answer| status(&answer.bytes))
     }
 
-    /// Returns the attempts that were sent.
+    /// Returns the attempts that were sent, in order.
     pub fn attempts(&self) -> Vec<AttemptRequest> {
         let mut attempts = Vec::new();
         for UpstreamBytes { connection, bytes } in &self.sent {
@@ -197,25 +198,25 @@
         attempts
     }
 
-    /// Returns the ids of the messages that were sent, in order.
+    /// Returns the message ids of the attempts that were sent, in order.
     pub fn sent_ids(&self) -> Vec<String> {
         self.attempts().into_iter().map(|attempt| attempt.message_id).collect()
     }
 
-    /// Returns the request of the first attempt.
+    /// Returns the encoded request of the first attempt.
     pub fn first_attempt_bytes(&self) -> &[u8] {
         let mut all = self.sent.iter().map(|sent| &sent.bytes[..]);
         all.find(|bytes| bytes.starts_with(b"POST")).expect("an attempt")
     }
 
-    /// An endpoint or discovery sends bytes.
+    /// Delivers bytes from an endpoint or discovery to the core.
     pub fn respond(&mut self, connection: ConnectionId, bytes: &[u8]) {
         self.core.upstream_received(connection, bytes);
         self.process();
     }
 
-    /// Has ten messages served one after another and returns the connection of the last one.
-    pub fn connection_in_use(&mut self, served: &str) -> ConnectionId {
+    /// Submits ten messages, each after the previous one was served. Returns the connection of the last one.
+    pub fn serve_ten_messages(&mut self, served: &str) -> ConnectionId {
         let mut last = 0;
         for n in 0..10 {
             self.submit("status", &format!("w{n}"), "");
@@ -226,7 +227,7 @@
         last
     }
 
-    /// Submits an idempotent message whose first attempt stays unanswered and whose hedge is served. Returns
+    /// Submits an idempotent message whose first attempt gets no response and whose hedge is served. Returns
     /// the connection of the first attempt, which is abandoned.
     pub fn abandon_attempt(&mut self) -> ConnectionId {
         self.submit("status", "a", "");
@@ -237,7 +238,7 @@
         first
     }
 
-    /// Establishes the newest connection to discovery.
+    /// Establishes the newest requested connection to discovery.
     pub fn connect_discovery(&mut self) -> ConnectionId {
         let is_new = |id: &ConnectionId, address: &SocketAddr| {
             address.port() == DISCOVERY_PORT && !self.connected.contains(id)
@@ -263,11 +264,12 @@
         notifications
     }
 
-    pub fn has_record(&self, wanted: impl Fn(&Record) -> bool) -> bool {
-        self.journal.iter().any(wanted)
+    pub fn has_record(&self, predicate: impl Fn(&Record) -> bool) -> bool {
+        self.journal.iter().any(predicate)
     }
 
-    /// Sends a line of the watch in a chunk of its own, after the head if it is the first.
+    /// Delivers a line of the watch as one chunk of a chunked response, after the response head if it is the
+    /// first line.
     pub fn watch_event(&mut self, watch: ConnectionId, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/platform/src/core/tests/notifications.rs
+++ b/crates/platform/src/core/tests/notifications.rs
@@ -1,9 +1,9 @@
-//! Status notifications and the ordering keys that wait for them.
+//! Status notifications, and the ordering keys that they block until they are acknowledged.
 
 use super::harness::*;
 
 #[test]
-fn notification_unacknowledged_resent_after_timeout_move_and_restart() {
+fn notification_unacknowledged_resent_after_timeout_discovery_move_and_restart() {
     let mut harness = Harness::new();
     harness.submit("order", "m", "");
     let connection = harness.attempts()[0].connection;
@@ -18,15 +18,15 @@
     assert!(harness.closed.contains(&second));
     let moved = harness.connections.values().filter(|address| address.port() == 8501);
     assert_eq!(moved.count(), 2, "the watch and the notifications");
-    let mut again = Harness::with_journal(harness.journal.clone(), harness.now, 40);
-    let connection = again.connect_discovery();
-    assert_eq!(again.notifications().len(), 1);
-    again.respond(connection, b"HTTP/1.1 204 No Content\r\n\r\n");
-    assert!(again.has_record(|record| matches!(record, Record::Notified { .. })));
-    let left = again.core.snapshot();
+    let mut restarted = Harness::with_journal(harness.journal.clone(), harness.now, 40);
+    let connection = restarted.connect_discovery();
+    assert_eq!(restarted.notifications().len(), 1);
+    restarted.respond(connection, b"HTTP/1.1 204 No Content\r\n\r\n");
+    assert!(restarted.has_record(|record| matches!(record, Record::Notified { .. })));
+    let snapshot = restarted.core.snapshot();
     assert!(
-        matches!(left[..], [Record::Names { .. }, Record::CompletedId(_)]),
-        "every outcome is acknowledged: {left:?}"
+        matches!(snapshot[..], [Record::Names { .. }, Record::CompletedId(_)]),
+        "every outcome is acknowledged: {snapshot:?}"
     );
 }
 
@@ -37,7 +37,7 @@
     harness.submit("change", "two", "k");
     harness.submit("change", "other", "l");
     assert_eq!(harness.sent_ids(), ["one", "other"]);
-    // It is not served and given up at its deadline.
+    // `one` is not served, and is completed as undelivered at its deadline.
     harness.run_for(8995 * MILLISECOND);
     assert!(!harness.sent_ids().contains(&"two".to_owned()), "{:?}", harness.sent_ids());
     let mut harness = Harness::new();
@@ -46,7 +46,7 @@
     let mut in_flight = harness.core.in_flight.iter();
     let (number, _) = in_flight.find(|(_, message)| message.message().id == b"one").unwrap();
     drop(in_flight);
-    // The first message fails; the second may be sent once that is acknowledged.
+    // The first message fails. The second may be sent once the notification of the failure is acknowledged.
     harness.core.complete_undelivered(number, FinalOutcome::Failed);
     harness.core.decisions.push(Event::ClientCancelled { message: number });
     harness.run_for(300 * MILLISECOND);
@@ -74,8 +74,8 @@
     harness.core.complete_undelivered(77, FinalOutcome::Failed);
     assert!(harness.core.notifier.blocks(ordering_key, first));
     harness.core.acknowledge(77);
-    let asked = harness.core.take_outputs().into_iter().filter(is_endpoint_connect);
-    assert_eq!(asked.count(), 1, "one connection for one attempt");
+    let connects = harness.core.take_outputs().into_iter().filter(is_endpoint_connect);
+    assert_eq!(connects.count(), 1, "one connection for one attempt");
 }
 
 #[test]
@@ -89,20 +89,20 @@
     }
     harness.process();
     let connection = harness.connect_discovery();
-    let no = "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n";
-    let yes = "HTTP/1.1 204 No Content\r\n\r\n";
-    for reply in [no, yes, no, no, yes] {
-        harness.respond(connection, reply.as_bytes());
+    let rejection = "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n";
+    let acknowledgement = "HTTP/1.1 204 No Content\r\n\r\n";
+    for response in [rejection, acknowledgement, rejection, rejection, acknowledgement] {
+        harness.respond(connection, response.as_bytes());
     }
     let lines: Vec<usize> = harness.notifications().iter().map(|batch| batch.body.lines().count()).collect();
-    assert_eq!(lines, [3, 1, 2, 1, 1], "smaller batches until the rejected one is found");
+    assert_eq!(lines, [3, 1, 2, 1, 1], "batches shrink until the rejected notification is alone");
     assert_eq!(harness.core.sizes().unacknowledged, 0);
     let rejected = CoreEvent::NotificationRejected { message: "b".into() };
     assert!(harness.core.take_events().contains(&rejected), "the rejected message is named");
 }
 
 #[test]
-fn notification_answer_with_close_leaves_old_connection_to_discovery() {
+fn notification_response_with_close_leaves_closing_to_discovery() {
     let mut harness = Harness::new();
     for id in ["a", "b"] {
         harness.submit("order", id, "");
@@ -111,7 +111,7 @@
     let failed = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
     harness.respond(attempts[0].connection, failed);
     let first = harness.connect_discovery();
-    // The second notification is queued while the first is not answered.
+    // The second notification is queued before the first is acknowledged.
     harness.respond(attempts[1].connection, failed);
     harness.respond(first, b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     let second = harness.connect_discovery();
@@ -121,7 +121,7 @@
     assert_eq!((connections, harness.core.sizes().unacknowledged), (vec![first, second], 0));
     harness.run_for(5 * SECOND);
     assert!(!harness.closed.contains(&first), "discovery announced that it closes the connection");
-    // Neither bytes nor the end of the old connection concern the new one.
+    // Bytes on the old connection, and its disconnect, do not affect the new one.
     harness.respond(first, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     harness.core.upstream_disconnected(first, 0);
     harness.process();
--- a/crates/platform/src/core/tests/observations.rs
+++ b/crates/platform/src/core/tests/observations.rs
@@ -1,11 +1,11 @@
-//! What the tests observe of a core: bytes, attempts, notifications and counts.
+//! Types and functions by which the tests inspect the outputs of a core.
 
 use super::harness::DISCOVERY_PORT;
 use crate::core::{ClientId, ConnectionId, OutcomeCounts, Output};
 use linnetcart::AttemptOutcome;
 use linnetcart_http::{parse_response, ParsedResponse};
 
-/// Bytes that the core sent upstream.
+/// Bytes that the core sent to an endpoint or to discovery.
 pub struct UpstreamBytes {
     pub connection: ConnectionId,
     pub bytes: Vec<u8>,
@@ -36,7 +36,7 @@
     NotificationBatch { connection, body: "{\"id\":\"m\",\"state\":\"failed\"}\n".to_owned() }
 }
 
-/// Returns the status of an answer.
+/// Returns the status of an HTTP response.
 pub fn status(bytes: &[u8]) -> u16 {
     match parse_response(bytes) {
         ParsedResponse::Head(head) => head.status,
@@ -53,7 +53,7 @@
     counts
 }
 
-/// Whether an output asks for a connection to an endpoint.
+/// Whether an output requests a connection to an endpoint.
 pub fn is_endpoint_connect(output: &Output) -> bool {
     matches!(output, Output::Connect(_, address) if address.port() != DISCOVERY_PORT)
 }
--- a/crates/platform/src/core/tests/recovery.rs
+++ b/crates/platform/src/core/tests/recovery.rs
@@ -3,7 +3,7 @@
 use super::harness::*;
 
 #[test]
-fn journal_cut_after_any_record_recovers_all_and_repeats_only_idempotent() {
+fn journal_cut_after_any_record_recovers_all_and_resends_only_idempotent() {
     let mut harness = Harness::new();
     for (n, class) in ["order", "status", "order", "change", "order"].iter().enumerate() {
         assert_eq!(harness.submit(class, &format!("m{n}"), "k"), 202);
@@ -14,20 +14,20 @@
     harness.respond(attempts[4].connection, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
     let full = harness.journal.clone();
     for cut in 0..=full.len() {
-        let before = &full[..cut];
-        let mut again = Harness::with_journal(before.to_vec(), harness.now + SECOND, 40);
-        again.run_for(100 * MILLISECOND);
-        again.connect_discovery();
-        let sent = again.sent_ids();
-        let notifications = again.notifications();
-        for message in accepted_messages(before) {
+        let cut_journal = &full[..cut];
+        let mut restarted = Harness::with_journal(cut_journal.to_vec(), harness.now + SECOND, 40);
+        restarted.run_for(100 * MILLISECOND);
+        restarted.connect_discovery();
+        let sent = restarted.sent_ids();
+        let notifications = restarted.notifications();
+        for message in accepted_messages(cut_journal) {
             let id = message.id;
             let is_sent = sent.contains(&id);
             let is_notified = notifications.iter().any(|batch| batch.body.contains(&format!("\"{id}\"")));
             match message.state {
                 Recorded::Delivered => assert!(!is_sent && !is_notified, "cut {cut}: {id} is delivered"),
                 Recorded::Undeliverable => {
-                    assert!(is_notified && !is_sent, "cut {cut}: {id} ends with a notification");
+                    assert!(is_notified && !is_sent, "cut {cut}: the sender of {id} is notified");
                 }
                 Recorded::Uncompleted => assert!(is_sent && !is_notified, "cut {cut}: {id} is sent"),
             }
@@ -38,7 +38,7 @@
 /// The state of a message according to a journal.
 enum Recorded {
     Delivered,
-    /// It has another outcome, or was possibly executed and is not idempotent.
+    /// The message failed or was returned, or was possibly executed and is not idempotent.
     Undeliverable,
     Uncompleted,
 }
@@ -86,30 +86,30 @@
 }
 
 #[test]
-fn message_of_unknown_class_in_file_without_names_fails() {
+fn message_of_unknown_class_in_journal_without_names_fails() {
     let mut harness = Harness::new();
     assert_eq!(harness.submit("order", "m", ""), 202);
-    let mut old = std::mem::take(&mut harness.journal);
-    old.retain(|record| !matches!(record, Record::Names { .. }));
-    for record in &mut old {
+    let mut journal = std::mem::take(&mut harness.journal);
+    journal.retain(|record| !matches!(record, Record::Names { .. }));
+    for record in &mut journal {
         if let Record::Accepted { message, .. } = record {
             message.class = 9;
         }
     }
-    let mut again = Harness::with_journal(old, harness.now + SECOND, 40);
-    let connection = again.connect_discovery();
-    assert_eq!(again.notifications(), [failed_notification(connection)]);
+    let mut restarted = Harness::with_journal(journal, harness.now + SECOND, 40);
+    let connection = restarted.connect_discovery();
+    assert_eq!(restarted.notifications(), [failed_notification(connection)]);
 }
 
 #[test]
-fn recovered_deadline_runs_during_initial_sync() {
-    let message = |id: &str, class, left| Message {
+fn recovered_message_times_out_counting_initial_sync() {
+    let message = |id: &str, class, time_remaining| Message {
         id: id.into(),
         idempotency_key: Some(b"t".to_vec()),
         class,
         destination: 9,
         ordering_key: 0,
-        wall_deadline: 100 * SECOND + left,
+        wall_deadline: 100 * SECOND + time_remaining,
         body: vec![],
     };
     let sent = SentAttempt { number: 0, zone: 0, sent_at: 100 * SECOND - 6900 * MILLISECOND };
@@ -119,17 +119,17 @@
         Record::AttemptSent { message: 2, attempt: sent },
     ];
     let mut harness = Harness::with_journal(journal, 100 * SECOND, 40);
-    let ended = |harness: &Harness, number| {
+    let is_completed = |harness: &Harness, number| {
         harness.has_record(|record| matches!(record, Record::Completed { message, .. } if *message == number))
     };
     assert!(
-        !ended(&harness, 1) && ended(&harness, 2),
-        "its deduplication window of 8 s, less a second for transit, has ended"
+        !is_completed(&harness, 1) && is_completed(&harness, 2),
+        "the deduplication window of `keyed`, 8 s less a second for transit, has ended"
     );
     harness.run_for(80 * MILLISECOND);
-    assert!(!ended(&harness, 1));
+    assert!(!is_completed(&harness, 1));
     harness.run_for(11 * MILLISECOND);
-    assert!(ended(&harness, 1), "two ticks before its deadline");
+    assert!(is_completed(&harness, 1), "two ticks before its deadline");
 }
 
 #[test]
@@ -144,9 +144,10 @@
     harness.run_for(4 * SECOND);
     let hedge = harness.attempts()[1].connection;
     harness.respond(hedge, SERVED.as_bytes());
-    assert_eq!(harness.write_ended.len(), 1, "the slower attempt is cancelled, and may still execute");
-    // The second process reads it from the snapshot of the first. Each process starts the cooldown again,
-    // because an endpoint may not have seen the end of the attempt before the process exited.
+    assert_eq!(harness.write_shutdown.len(), 1, "the slower attempt is cancelled, and may still execute");
+    // The second process reads the cooldown from the journal of the first, the third from the second's
+    // snapshot. Each restarts it, because an endpoint may not have seen the end of the attempt before the
+    // process exited.
     let second = start(harness.journal, harness.now + 10 * MILLISECOND);
     let mut harness = start(second.journal, second.now + 10 * MILLISECOND);
     assert_eq!((harness.submit("change", "b", "k"), harness.submit("change", "c", "l")), (202, 202));
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -3,7 +3,7 @@
 use super::harness::*;
 
 #[test]
-fn shutdown_after_grace_period_awaits_only_attempts_in_flight() {
+fn shutdown_after_last_decision_awaits_only_attempts_in_flight() {
     let mut harness = Harness::new();
     harness.submit("order", "a", "");
     harness.core.begin_shutdown();
@@ -13,14 +13,14 @@
     harness.run_for(2800 * MILLISECOND);
     assert!(!harness.core.is_ended());
     let before = harness.attempts().len();
-    assert_eq!(harness.submit("order", "c", ""), 202, "accepted for the next process");
-    assert_eq!(harness.attempts().len(), before, "no attempt begins that cannot finish");
+    assert_eq!(harness.submit("order", "c", ""), 202, "accepted, to be sent by the next process");
+    assert_eq!(harness.attempts().len(), before, "no attempt starts after the last decision");
     for attempt in attempts {
         harness.respond(attempt.connection, SERVED.as_bytes());
     }
     assert!(harness.core.is_ended());
-    let again = Harness::with_journal(harness.journal.clone(), harness.now + SECOND, 40);
-    assert_eq!(again.sent_ids(), ["c"]);
+    let restarted = Harness::with_journal(harness.journal.clone(), harness.now + SECOND, 40);
+    assert_eq!(restarted.sent_ids(), ["c"]);
     let mut harness = Harness::new();
     harness.submit("order", "a", "");
     harness.core.begin_shutdown();
@@ -37,7 +37,10 @@
     harness.now += 200 * MILLISECOND;
     harness.core.upstream_connected(connection);
     harness.process();
-    assert!(harness.attempts().is_empty() && harness.core.is_ended(), "left to the next process");
+    assert!(
+        harness.attempts().is_empty() && harness.core.is_ended(),
+        "the message is left to the next process"
+    );
     assert!(
         !harness.has_record(|record| matches!(record, Record::AttemptSent { .. } | Record::Completed { .. }))
     );
--- a/crates/platform/src/core/tests/unrecorded.rs
+++ b/crates/platform/src/core/tests/unrecorded.rs
@@ -1,11 +1,12 @@
-//! Iterations whose records cannot be written: nothing that depends on a missing record leaves, then or later.
+//! Iterations whose records cannot be written: no output that depends on a missing record is sent, neither
+//! then nor later.
 
 use super::harness::*;
 
-/// The answer of an endpoint that did not execute the message.
+/// The response of an endpoint that did not execute the message.
 const REJECTED: &[u8] = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
 
-/// Returns the records that the next process would find.
+/// Returns the records that the next process would replay.
 fn stored(harness: &Harness) -> Vec<Record> {
     harness.journal.clone()
 }
@@ -18,20 +19,20 @@
         let connection = harness.attempts()[0].connection;
         harness.respond(connection, SERVED.as_bytes());
         harness.run_for(20 * MILLISECOND);
-        // The message is decided and, on the idle connection, sent in the iteration that cannot be recorded.
+        // The idle connection lets the core decide and send the message in one iteration, whose records fail.
         harness.journal_fails = true;
         assert_eq!(harness.submit(class, "m", "k"), 503, "{class}");
         harness.journal_fails = false;
         harness.run_for(SECOND);
         assert_eq!(harness.sent_ids(), ["warm"], "{class}");
         assert_eq!(harness.core.sizes().in_flight, 0, "{class}");
-        assert_eq!(harness.submit(class, "m", "k"), 202, "its id is free");
+        assert_eq!(harness.submit(class, "m", "k"), 202, "its id is not in use");
         assert_eq!(harness.sent_ids(), ["warm", "m"], "{class}");
     }
 }
 
 #[test]
-fn attempt_not_recorded_not_sent_and_decided_anew_when_recordable() {
+fn attempt_not_recorded_not_sent_and_decided_again_once_journal_is_writable() {
     for class in ["change", "order"] {
         let mut harness = Harness::new();
         assert_eq!(harness.submit(class, "m", ""), 202);
@@ -40,12 +41,16 @@
         harness.journal_fails = true;
         harness.respond(first, REJECTED);
         harness.run_for(2 * SECOND);
-        assert_eq!(harness.attempts().len(), 1, "{class} is sent without a record");
+        assert_eq!(harness.attempts().len(), 1, "{class} was sent without a record");
         harness.journal_fails = false;
         harness.run_for(6 * SECOND);
-        assert_eq!(harness.attempts().len(), 2, "{class} is not sent when it can be recorded");
+        assert_eq!(harness.attempts().len(), 2, "{class} was not sent once the journal was writable");
         let outcomes = harness.outcomes();
-        assert_eq!((outcomes.no_connection, outcomes.error), (0, 0), "the endpoint is not blamed");
+        assert_eq!(
+            (outcomes.no_connection, outcomes.error),
+            (0, 0),
+            "no failure is attributed to the endpoint"
+        );
     }
 }
 
@@ -62,7 +67,7 @@
 }
 
 #[test]
-fn draining_endpoint_gets_no_attempt_that_waited_for_its_record() {
+fn endpoint_draining_while_journal_unwritable_gets_no_attempt() {
     let mut harness = Harness::new();
     let watch = harness.connect_discovery();
     assert_eq!(harness.submit("order", "m", ""), 202);
@@ -74,20 +79,20 @@
     harness.run_for(100 * MILLISECOND);
     harness.journal_fails = false;
     harness.run_for(2 * SECOND);
-    assert_eq!(harness.attempts().len(), 1, "sent to a draining endpoint");
+    assert_eq!(harness.attempts().len(), 1, "an attempt was sent to a draining endpoint");
 }
 
 #[test]
-fn outcome_not_recorded_notified_only_after_end_of_message() {
+fn outcome_not_recorded_notified_only_after_message_deadline() {
     let mut harness = Harness::new();
     assert_eq!(harness.submit("order", "m", ""), 202);
     let connection = harness.attempts()[0].connection;
     let connections = harness.connections.len();
     harness.journal_fails = true;
-    // The outcome is decided long before the message's time is over.
+    // The message fails long before its deadline.
     harness.respond(connection, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     harness.run_for(5 * SECOND);
-    assert!(harness.connections.len() <= connections, "a connection for the notification");
+    assert!(harness.connections.len() <= connections, "no connection is requested for the notification");
     harness.run_for(4 * SECOND);
     let notifier = harness.connect_discovery();
     assert_eq!(harness.notifications(), [failed_notification(notifier)]);
@@ -107,7 +112,7 @@
 }
 
 #[test]
-fn journal_fails_for_whole_life_of_messages_each_is_completed_once() {
+fn journal_unwritable_until_deadline_all_messages_notified() {
     let mut harness = Harness::new();
     for (n, class) in ["order", "status", "change", "order"].iter().enumerate() {
         assert_eq!(harness.submit(class, &format!("m{n}"), "k"), 202);
@@ -122,7 +127,7 @@
 }
 
 #[test]
-fn killed_while_journal_fails_next_process_repeats_only_idempotent() {
+fn killed_while_journal_unwritable_next_process_resends_only_idempotent() {
     let mut harness = Harness::new();
     for class in ["status", "change", "order"] {
         assert_eq!(harness.submit(class, class, ""), 202);
@@ -134,13 +139,13 @@
     harness.run_for(SECOND);
     let sent_before = harness.sent_ids().len();
     assert_eq!(sent_before, 3);
-    let mut again = Harness::with_journal(stored(&harness), harness.now + SECOND, 40);
-    again.run_for(100 * MILLISECOND);
-    assert!(!again.sent_ids().contains(&"order".to_owned()), "{:?}", again.sent_ids());
+    let mut restarted = Harness::with_journal(stored(&harness), harness.now + SECOND, 40);
+    restarted.run_for(100 * MILLISECOND);
+    assert!(!restarted.sent_ids().contains(&"order".to_owned()), "{:?}", restarted.sent_ids());
 }
 
 #[test]
-fn not_ready_while_journal_fails() {
+fn not_ready_while_journal_unwritable() {
     let mut harness = Harness::new();
     let ready = b"GET /ready HTTP/1.1\r\n\r\n";
     assert_eq!(harness.send_request(ready), 200);
@@ -153,7 +158,7 @@
 }
 
 #[test]
-fn process_held_up_before_sending_attempt_is_decided_anew() {
+fn attempt_on_outdated_input_not_sent_and_decided_again() {
     let mut harness = Harness::new();
     let read_at = harness.now;
     harness.core.client_opened(7);
@@ -171,6 +176,7 @@
     let records = harness.core.take_records();
     assert!(records.iter().any(|record| matches!(record, Record::AttemptSent { .. })));
     harness.core.records_written();
+    // The process was delayed for 150 ms between reading its input and sending the attempt.
     harness.core.recheck_attempts(read_at, read_at + 150 * MILLISECOND);
     let sends = |outputs: Vec<Output>| {
         outputs
@@ -178,12 +184,12 @@
             .filter(|output| matches!(output, Output::SendUpstream(id, _) if *id == connection))
             .count()
     };
-    assert_eq!(sends(harness.core.take_outputs()), 0, "sent on outdated input");
+    assert_eq!(sends(harness.core.take_outputs()), 0, "the attempt was sent on outdated input");
     harness.now += 150 * MILLISECOND;
     harness.core.process(harness.now);
     let retracted = harness.core.take_records();
     assert!(retracted.iter().any(|record| matches!(record, Record::NotExecuted { .. })), "{retracted:?}");
     harness.core.records_written();
     harness.run_for(6 * SECOND);
-    assert_eq!(harness.sent_ids(), ["m"], "decided anew");
+    assert_eq!(harness.sent_ids(), ["m"], "decided again");
 }
