--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -169,7 +169,7 @@
         self.effects.take_records()
     }
 
-    /// Takes the outputs that the shell must carry out, in order.
+    /// Takes the outputs that the shell must execute, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         self.effects.take_outputs()
     }
@@ -202,7 +202,7 @@
         self.shutdown.phase() == Phase::Ended
     }
 
-    /// Returns the latest time at which the next iteration is due, if no input arrives before.
+    /// Returns when the next iteration is due if no input arrives earlier, in monotonic time.
     pub fn next_wake(&self) -> Time {
         let in_initial_sync = self.in_initial_sync();
         if self.decisions.has_events() && !in_initial_sync {
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -21,7 +21,7 @@
 
 /// The result of parsing the buffered bytes of a connection.
 #[derive(Debug, PartialEq, Eq)]
-pub enum RequestEvent<'a> {
+pub enum BufferedRequest<'a> {
     /// The request is incomplete.
     Incomplete,
     /// The bytes are exactly one complete request.
@@ -140,13 +140,13 @@
     }
 
     /// Parses the buffered bytes of a connection.
-    pub fn request(&self, id: ClientId) -> RequestEvent<'_> {
-        let Some(client) = self.connections.get(&id) else { return RequestEvent::Incomplete };
+    pub fn request(&self, id: ClientId) -> BufferedRequest<'_> {
+        let Some(client) = self.connections.get(&id) else { return BufferedRequest::Incomplete };
         match parse_request(&client.request) {
-            Ok(None) => RequestEvent::Incomplete,
-            Ok(Some(request)) if request.length() < client.request.len() => RequestEvent::Pipelined,
-            Ok(Some(request)) => RequestEvent::Complete(request),
-            Err(error) => RequestEvent::Malformed(error),
+            Ok(None) => BufferedRequest::Incomplete,
+            Ok(Some(request)) if request.length() < client.request.len() => BufferedRequest::Pipelined,
+            Ok(Some(request)) => BufferedRequest::Complete(request),
+            Err(error) => BufferedRequest::Malformed(error),
         }
     }
 
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -1,7 +1,7 @@
 //! From a client's request to its answer: the part of an iteration that admits messages.
 
 use super::admission::{AdmissionDecision, Answer, Requester};
-use super::client_connections::{ClientId, ExpiredClient, IdlePolicy, RequestEvent};
+use super::client_connections::{BufferedRequest, ClientId, ExpiredClient, IdlePolicy};
 use super::decisions::accepted_message;
 use super::effects::Output;
 use super::in_flight::{IdMatch, UncompletedMessage};
@@ -54,12 +54,12 @@
     /// Handles the request of a client. A submission is answered once its message is decided.
     pub(super) fn read_request(&mut self, client: ClientId) {
         let request = match self.clients.request(client) {
-            RequestEvent::Incomplete => return,
-            RequestEvent::Malformed(error) => {
+            BufferedRequest::Incomplete => return,
+            BufferedRequest::Malformed(error) => {
                 return self.reject_invalid(client, RequestError::Malformed(error));
             }
-            RequestEvent::Pipelined => return self.reject_invalid(client, RequestError::Pipelined),
-            RequestEvent::Complete(request) => request,
+            BufferedRequest::Pipelined => return self.reject_invalid(client, RequestError::Pipelined),
+            BufferedRequest::Complete(request) => request,
         };
         let requester = Requester { client, persistence: request.persistence };
         if request.path() == b"/ready" && request.method() == b"GET" {
