--- a/crates/platform/src/core/effects.rs
+++ b/crates/platform/src/core/effects.rs
@@ -1,6 +1,7 @@
 //! The effects of an iteration: records for the journal, outputs for the shell, events for the log.
 //!
-//! An output that depends on a record is known as such, so that it can be undone if the record is not written.
+//! Outputs that depend on a record are kept apart by type, so that they can be rejected or dropped if the
+//! record is not written (see [`unrecorded`](super::unrecorded)).
 
 use super::admission::Answer;
 use super::attempts::AttemptId;
@@ -18,17 +19,17 @@
 /// An action for the shell. Outputs are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Write to a client.
+    /// Queue bytes for a client.
     SendToClient(ClientId, Bytes),
-    /// Close a client's connection once all bytes written to it were sent.
+    /// Close a client's connection after all bytes queued for it are sent.
     CloseClient(ClientId),
     /// Connect to an endpoint or to discovery.
     Connect(ConnectionId, SocketAddr),
-    /// Write to an endpoint or to discovery.
+    /// Queue bytes for an endpoint or for discovery.
     SendUpstream(ConnectionId, Bytes),
-    /// Close a connection to an endpoint or to discovery at once.
+    /// Close a connection to an endpoint or to discovery at once and drop unsent bytes.
     CloseUpstream(ConnectionId),
-    /// Send no more on a connection to an endpoint, and read on.
+    /// Shut down the sending side of a connection to an endpoint, and continue to read from it.
     ShutdownWrite(ConnectionId),
     /// Stop accepting connections of clients.
     StopListening,
@@ -37,15 +38,15 @@
 /// An event for the operators' log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoreEvent {
-    /// The watch on the endpoint list failed; it is opened again.
+    /// The watch on the endpoint list failed; it is reopened after a backoff.
     WatchFailed(WatchError),
-    /// The watch was silent for too long; it is opened again.
+    /// No byte arrived on the watch within its silence timeout; it is reopened.
     WatchSilent,
     /// The answer to status notifications was invalid; they are sent again.
     NotificationsFailed(NotificationError),
     /// Status notifications were not answered in time; they are sent again.
     NotificationsTimedOut,
-    /// Discovery rejected this message's notification, which is dropped.
+    /// Discovery rejected this message's notification, which is not sent again.
     NotificationRejected {
         /// The message's id.
         message: String,
@@ -60,39 +61,40 @@
         /// The message's id.
         message: String,
     },
-    /// A message was not accepted after all, because that could not be recorded.
+    /// A message was rejected after the decision to accept it, because its acceptance could not be recorded.
     AcceptanceUndone {
         /// The message's id.
         message: String,
     },
-    /// An attempt was not sent, because it could not be recorded, or not in time.
+    /// An attempt was not sent: it could not be recorded, the process was stalled for too long before the
+    /// send, or the kernel accepted no byte of the request.
     AttemptUndone {
         /// The message's id.
         message: String,
         /// The attempt's number.
         attempt: u16,
     },
-    /// A recovered message has a class that the settings no longer name, and has failed.
+    /// A recovered message was completed as failed, because the settings no longer contain its class.
     UnknownClass {
         /// The message's id.
         message: String,
     },
-    /// The last untried message of a previous process was sent or given up.
+    /// The last untried message of a previous process was attempted, or completed without delivery.
     RecoveryFinished(RecoveryCounts),
 }
 
-/// An output, and the record without which it must not be carried out.
+/// An output with the record on which it depends.
 ///
-/// A refusal, a close and a status notification that has been released depend on none: repeating them is
-/// harmless.
+/// Rejections, closes and released status notifications depend on no record: repeating them is harmless.
 #[derive(Debug)]
 enum PendingOutput {
-    /// Depends on no record.
+    /// An output that depends on no record.
     Independent(Output),
-    /// The answer that a message is accepted, which depends on the record of that. Without the record, the
-    /// message is rejected.
+    /// The answer 202 to a client, which depends on the record of the acceptance. Without the record, it
+    /// becomes a 503.
     Acceptance { message: u32, client: ClientId, persistence: Persistence },
-    /// The request of an attempt, which depends on the record of that unless a repetition is harmless.
+    /// The request of an attempt. It depends on the record of the attempt if
+    /// [`Class::attempt_needs_record`](linnetcart::Class::attempt_needs_record).
     Attempt { attempt: AttemptId, connection: ConnectionId, request: Bytes },
 }
 
@@ -122,8 +124,8 @@
     }
 }
 
-/// The effects since the shell last took them. No output may be taken before the records are written or the
-/// core was told that they are not.
+/// The effects since the shell last took them. Outputs may be taken only after the records were written or
+/// their failure was reported to the core.
 #[derive(Debug, Default)]
 pub struct Effects {
     records: Vec<Record>,
@@ -142,17 +144,17 @@
         self.outputs.push(PendingOutput::Independent(output));
     }
 
-    /// Adds the answer that a message is accepted.
+    /// Adds the answer 202 for a message, which depends on the record of the acceptance.
     pub fn acceptance(&mut self, message: u32, client: ClientId, persistence: Persistence) {
         self.outputs.push(PendingOutput::Acceptance { message, client, persistence });
     }
 
-    /// Adds the request of an attempt.
+    /// Adds the request of an attempt, which may depend on the record of the attempt.
     pub fn attempt(&mut self, attempt: AttemptId, connection: ConnectionId, request: Bytes) {
         self.outputs.push(PendingOutput::Attempt { attempt, connection, request });
     }
 
-    /// Turns the answers that a message is accepted into rejections. Returns their number.
+    /// Replaces the answers 202 for a message by rejections (503). Returns their number.
     pub fn reject_acceptance(&mut self, rejected: u32) -> u64 {
         let mut count = 0;
         for output in &mut self.outputs {
@@ -166,7 +168,7 @@
         count
     }
 
-    /// Drops the request of an attempt. Returns its length in bytes, or `None` if there is none.
+    /// Drops the request of an attempt. Returns its length in bytes, or `None` if no request of it is queued.
     pub fn drop_attempt(&mut self, dropped: AttemptId) -> Option<usize> {
         let position = self.outputs.iter().position(|output| output.is_request_of(dropped))?;
         match self.outputs.remove(position) {
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Returns the attempts whose requests have not been taken yet.
+    /// Returns the attempts whose requests are among the outputs.
     pub fn attempts(&self) -> Vec<AttemptId> {
         let mut attempts = Vec::new();
         for output in &self.outputs {
@@ -191,8 +193,8 @@
         self.events.push(event);
     }
 
-    /// Emits closes first to free endpoint slots; drops connects whose connection was closed in the same
-    /// iteration.
+    /// Moves closes and write shutdowns before all other outputs, so that file descriptors and the endpoints'
+    /// slots are free before new connects. Drops connects whose connection was closed in the same iteration.
     pub fn put_closes_first(&mut self, closed: &[ConnectionId], abandoned: &[ConnectionId]) {
         if closed.is_empty() && abandoned.is_empty() {
             return;
--- a/crates/platform/src/core/in_flight.rs
+++ b/crates/platform/src/core/in_flight.rs
@@ -1,7 +1,8 @@
-//! The in-flight table: messages that are accepted, or await that decision, and are not yet settled.
+//! The in-flight table: messages from their submission until they are settled, that is, completed,
+//! acknowledged by the platform (if their outcome needs a notification) and without attempts in flight.
 //!
-//! It owns each message's state, the numbers of its attempts and the bytes that all messages take in the
-//! journal. It reads no clock.
+//! It owns each message's state, numbers its attempts and accounts for the bytes that all messages take in
+//! the journal. It reads no clock.
 
 use super::attempts::AttemptId;
 use crate::records::{Completion, FinalOutcome, Message, PendingMessage, SentAttempt};
@@ -9,18 +10,19 @@
 use linnetcart_courier_common::MessageNumbers;
 use std::collections::{BTreeMap, HashMap};
 
-/// Fraction of the journal's capacity that messages in flight may take. The rest is needed for the old file,
-/// the new file and growth.
+/// Messages in flight may take 1 / `CAPACITY_DIVISOR` of the journal's capacity in bytes. The rest is needed
+/// while the old journal file, its replacement and the records appended meanwhile exist side by side.
 const CAPACITY_DIVISOR: u64 = 5;
-/// Bytes of a message's records in addition to its id, key and body: its attempts and its completion.
+/// Bytes reserved for a message's records in addition to its id, idempotency key and body: fixed fields,
+/// attempts and completion.
 const RECORD_OVERHEAD_BYTES: usize = 512;
 
-/// How a message relates to a known message with the same id.
+/// How a submitted message relates to a known message with the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdMatch {
-    /// The same message, submitted again.
+    /// The same content: a repeated submission.
     SameMessage,
-    /// A different message.
+    /// Different content: the id is used for two messages.
     OtherMessage,
 }
 
@@ -29,7 +31,7 @@
 pub struct UncompletedMessage {
     /// The message's number.
     pub number: u32,
-    /// Whether it is the message whose id was looked up.
+    /// Whether its content is that of the submitted message.
     pub id_match: IdMatch,
 }
 
@@ -37,12 +39,14 @@
 /// has not acknowledged.
 #[derive(Debug)]
 pub struct InFlightMessage {
-    /// The state that the journal has of the message.
+    /// The message's state that the journal restores after a restart.
     pub pending: PendingMessage,
     /// The message's deadline; monotonic time, unlike [`Message::wall_deadline`].
     pub deadline: Time,
+    /// The message's share of [`InFlightTable::size_bytes`].
     size_bytes: u64,
-    live_attempts: u16,
+    /// Number of attempts that were begun and have not ended.
+    attempts_in_flight: u16,
 }
 
 impl InFlightMessage {
@@ -56,7 +60,7 @@
         self.pending.completion != Completion::Uncompleted
     }
 
-    /// Whether the message is returned, so that its sender may submit it again.
+    /// Whether the message was returned to its sender, who may submit it again under the same id.
     pub fn is_returned(&self) -> bool {
         matches!(self.pending.completion.outcome(), Some(FinalOutcome::Returned { .. }))
     }
@@ -64,7 +68,7 @@
     /// Whether the message is completed, its outcome needs no further notification and no attempt is in
     /// flight.
     fn is_settled(&self) -> bool {
-        matches!(self.pending.completion, Completion::Concluded(_)) && self.live_attempts == 0
+        matches!(self.pending.completion, Completion::Concluded(_)) && self.attempts_in_flight == 0
     }
 }
 
@@ -77,14 +81,15 @@
     pub message_deadline: Time,
 }
 
-/// The effect of an attempt's end on its message.
+/// What the end of an attempt means for its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEffect {
     /// The message's ordering key.
     pub ordering_key: u64,
     /// Whether the message had its final outcome before the attempt ended.
     pub was_completed: bool,
-    /// Whether the attempt was recorded as sent and is now known not to have been executed.
+    /// Whether the attempt was recorded as sent but its outcome excludes execution, so that
+    /// [`Record::NotExecuted`](crate::records::Record::NotExecuted) has to be written.
     pub retracts_sent: bool,
 }
 
@@ -94,14 +99,15 @@
     messages: BTreeMap<u32, InFlightMessage>,
     /// Numbers of the messages without a final outcome, by id.
     uncompleted_ids: HashMap<Vec<u8>, u32>,
+    /// Bytes that all messages take in the journal; see [`stored_size`].
     size_bytes: u64,
     max_size_bytes: u64,
     numbers: MessageNumbers,
 }
 
 impl InFlightTable {
-    /// Creates a table whose messages take a bounded part of the journal. Message numbers start at
-    /// `next_number`.
+    /// Creates an empty table. Its messages take at most `journal_capacity_bytes / CAPACITY_DIVISOR`. Message
+    /// numbers start at `next_number`.
     pub fn new(journal_capacity_bytes: u64, next_number: u32) -> InFlightTable {
         InFlightTable {
             messages: BTreeMap::new(),
@@ -122,7 +128,7 @@
         self.uncompleted_ids.len()
     }
 
-    /// Whether a further message fits into the journal.
+    /// Whether a further message fits into the part of the journal that messages in flight may take.
     pub fn has_capacity_for(&self, message: &Message) -> bool {
         self.size_bytes + stored_size(message) <= self.max_size_bytes
     }
@@ -137,8 +143,8 @@
         self.messages.iter().map(|(&number, message)| (number, message))
     }
 
-    /// Finds the uncompleted message that has the id of the given one. Returns `None` if the id is not in
-    /// use.
+    /// Finds the uncompleted message that has the id of the given one. Returns `None` if no uncompleted
+    /// message has it.
     pub fn find(&self, message: &Message) -> Option<UncompletedMessage> {
         let number = *self.uncompleted_ids.get(&message.id)?;
         let found = self.messages.get(&number);
@@ -157,7 +163,7 @@
     pub fn insert(&mut self, number: u32, pending: PendingMessage, deadline: Time) {
         let size_bytes = stored_size(&pending.message);
         self.size_bytes += size_bytes;
-        let message = InFlightMessage { pending, deadline, size_bytes, live_attempts: 0 };
+        let message = InFlightMessage { pending, deadline, size_bytes, attempts_in_flight: 0 };
         if !message.is_completed() {
             self.uncompleted_ids.insert(message.message().id.clone(), number);
         }
@@ -169,22 +175,22 @@
         let message = self.messages.get_mut(&number)?;
         let id = AttemptId { message: number, number: message.pending.attempts };
         message.pending.attempts += 1;
-        message.live_attempts += 1;
+        message.attempts_in_flight += 1;
         Some(NewAttempt { id, message_deadline: message.deadline })
     }
 
-    /// Records that an attempt was sent: it is possibly executed from now on.
+    /// Records that an attempt was sent: from now on, the endpoint may have executed the message.
     pub fn attempt_sent(&mut self, number: u32, attempt: SentAttempt) {
         if let Some(message) = self.messages.get_mut(&number) {
             message.pending.possibly_executed.push(attempt);
         }
     }
 
-    /// Records that an attempt ended: it is no longer in flight, and no longer possibly executed if the
-    /// outcome says so. Returns `None` if there is no such message.
+    /// Records that an attempt ended. If the outcome excludes execution, the attempt no longer counts as
+    /// possibly executed. Returns `None` if there is no such message.
     pub fn attempt_ended(&mut self, id: AttemptId, outcome: AttemptOutcome) -> Option<AttemptEffect> {
         let message = self.messages.get_mut(&id.message)?;
-        message.live_attempts -= 1;
+        message.attempts_in_flight -= 1;
         let sent = &mut message.pending.possibly_executed;
         let retracts_sent = outcome.not_executed() && sent.iter().any(|attempt| attempt.number == id.number);
         if retracts_sent {
@@ -238,8 +244,8 @@
     }
 }
 
-/// Whether two messages agree in all that identifies a submission; deadlines and idempotency keys are not
-/// compared.
+/// Whether two messages have the same class, destination, ordering key and body. Deadlines and idempotency
+/// keys are not compared.
 fn has_same_content(one: &Message, other: &Message) -> bool {
     one.class == other.class
         && one.destination == other.destination
@@ -247,7 +253,7 @@
         && one.body == other.body
 }
 
-/// Returns the number of bytes that a message takes in the journal.
+/// Returns an estimate of the bytes that a message takes in the journal.
 fn stored_size(message: &Message) -> u64 {
     let key_length = message.idempotency_key.as_ref().map_or(0, Vec::len);
     (message.id.len() + key_length + message.body.len() + RECORD_OVERHEAD_BYTES) as u64
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -1,6 +1,6 @@
 //! Inputs of the core: the clock, events of connections, signals and the state of the journal.
 //!
-//! An input changes the state of the part that it concerns. Requests are answered and attempts are sent only
+//! An input changes only the state of the part that handles it. Requests are answered and attempts are sent
 //! by the next [`Core::process`].
 
 use super::client_connections::{ClientId, Received};
@@ -17,7 +17,7 @@
         self.shutdown.advance(self.clock.now());
     }
 
-    /// A client connected. If that exceeds the capacity, a connection is evicted.
+    /// A client connected. If that exceeds the maximum number of connections, another one is evicted.
     pub fn client_opened(&mut self, id: ClientId) {
         if let Some(evicted) = self.clients.opened(id, self.clock.now()) {
             tracing::debug!(client = evicted, "client connection evicted for a new one");
@@ -32,12 +32,12 @@
         }
     }
 
-    /// A client will send no more bytes. Its outstanding request is answered in the next iteration.
+    /// A client shut down its sending side. A complete request of it is still answered in the next iteration.
     pub fn client_half_closed(&mut self, id: ClientId) {
         self.clients.half_closed(id);
     }
 
-    /// A client's connection was closed by the client or by the system.
+    /// A client's connection was closed by the client or by the kernel.
     pub fn client_closed(&mut self, id: ClientId) {
         self.clients.closed(id);
     }
@@ -64,8 +64,8 @@
         }
     }
 
-    /// A connection to an endpoint or to discovery ended; the operating system accepted `written` bytes of
-    /// ours on it.
+    /// A connection to an endpoint or to discovery ended. `written` is the number of bytes that the kernel
+    /// had accepted for it.
     pub fn upstream_disconnected(&mut self, id: ConnectionId, written: u64) {
         if self.discovery_disconnected(id) {
             return;
@@ -91,7 +91,7 @@
         self.shutdown.signal(self.clock.now());
     }
 
-    /// Sets whether records can be written to the journal.
+    /// Sets whether records can be written to the journal, and informs the decision library of a change.
     pub(super) fn set_journal_state(&mut self, state: JournalState) {
         if self.journal == state {
             return;
--- a/crates/platform/src/core/iteration.rs
+++ b/crates/platform/src/core/iteration.rs
@@ -1,4 +1,5 @@
-//! One iteration of the event loop: the order in which the parts of the core are processed.
+//! One iteration of the event loop: timeouts, requests, at most one decision, attempts, traffic with
+//! discovery and the shutdown, in this order.
 
 use super::recovery;
 use super::shutdown::OutstandingWork;
@@ -7,13 +8,15 @@
 use linnetcart::{AttemptOutcome, Time};
 
 impl Core {
-    /// Runs one iteration of the event loop: at most one decision on all events since the last one, and
-    /// everything that follows from it.
+    /// Runs one iteration of the event loop. If a decision is due, all events queued since the last one are
+    /// passed to the decision library in one call, and the actions that it returns are executed. Records,
+    /// outputs and log events are collected for the shell.
     pub fn process(&mut self, now: Time) {
         self.advance_clock(now);
         self.recovery.begin_iteration();
         self.expire();
-        // During the initial sync, requests wait: without a decision there is no answer for them.
+        // Requests are not read during the initial sync: no decision is made before it ends, and each answer
+        // depends on one.
         let in_initial_sync = self.in_initial_sync();
         if !in_initial_sync {
             self.read_requests();
@@ -35,7 +38,8 @@
         self.finish_shutdown();
     }
 
-    /// Ends attempts whose connection or own deadline has timed out.
+    /// Closes connections to endpoints whose deadline has passed, and ends attempts whose connection was
+    /// closed or whose own deadline has passed.
     fn expire(&mut self) {
         let now = self.clock.now();
         for finished in self.pool.close_overdue(now) {
@@ -52,6 +56,8 @@
         }
     }
 
+    /// Runs one decision on the queued events, preceded by recovered messages that the library does not know
+    /// yet.
     fn decide(&mut self) {
         let mut recovered = Vec::new();
         for number in self.recovery.take_undecided() {
@@ -67,8 +73,9 @@
         }
     }
 
-    /// Messages that still arrive are accepted for the next process. Attempts without a sent request are left
-    /// to it, too: nothing may begin that cannot finish before this process exits.
+    /// Stops decisions for the rest of the shutdown. Messages that still arrive are accepted and recorded,
+    /// and the next process delivers them. Attempts whose request is not sent are cancelled and left to that
+    /// process as well, because they might not end before this one exits.
     fn stop_decisions(&mut self) {
         self.decisions.stop();
         let accepted = self.admission.accept_all();
@@ -80,18 +87,23 @@
         }
     }
 
+    /// Closes connections on which the client has shut down its sending side and awaits no answer.
     fn close_half_closed(&mut self) {
         for id in self.clients.take_half_closed() {
             self.close_client(id, ClientCloseReason::HalfClosed);
         }
     }
 
+    /// Queues the closes and write shutdowns that the connection pool has collected, before all other
+    /// outputs.
     pub(super) fn put_closes_first(&mut self) {
         let closed = self.pool.take_closed();
         let abandoned = self.pool.take_abandoned();
         self.effects.put_closes_first(&closed, &abandoned);
     }
 
+    /// Ends the shutdown if no attempt is in flight and no notification is unacknowledged, or if it timed
+    /// out.
     fn finish_shutdown(&mut self) {
         let idle = self.attempts.is_empty() && self.notifier.len() == 0;
         let work = if idle { OutstandingWork::None } else { OutstandingWork::Some };
--- a/crates/platform/src/core/recovery.rs
+++ b/crates/platform/src/core/recovery.rs
@@ -1,6 +1,8 @@
-//! Recovery: from the journal's records to state, and from state to the records of a new file.
+//! Crash recovery: restores the core's state from the replayed journal, and encodes it as the snapshot with
+//! which a new journal file begins.
 //!
-//! It also counts the messages of a previous process until each untried one was attempted or given up.
+//! Also counts the recovered messages, and reports once all of them without a possibly executed attempt were
+//! attempted or completed without delivery.
 
 use super::clock::Clock;
 use super::counters::RecoveryCounts;
@@ -12,14 +14,15 @@
 use linnetcart::{Event, UnresolvedAttempt};
 use std::collections::BTreeSet;
 
-/// Messages that a previous process accepted.
+/// The progress of the messages that a previous process accepted.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// Messages that the decision library does not know yet.
+    /// Uncompleted messages that were not passed to the decision library yet.
     undecided: Vec<u32>,
-    /// Messages that were certainly never executed and are neither attempted nor completed by this process.
+    /// Messages that no endpoint has executed and that this process has neither attempted nor completed.
     untried: BTreeSet<u32>,
-    /// Messages whose first attempt was sent in the present iteration.
+    /// Messages whose first attempt by this process was sent in the present iteration and can still be
+    /// undone.
     first_attempted: BTreeSet<u32>,
     counts: RecoveryCounts,
 }
@@ -38,12 +41,12 @@
         }
     }
 
-    /// Begins an iteration.
+    /// Begins an iteration: attempts of earlier ones can no longer be undone.
     pub fn begin_iteration(&mut self) {
         self.first_attempted.clear();
     }
 
-    /// Takes the messages that the decision library does not know yet.
+    /// Takes the uncompleted messages that were not passed to the decision library yet.
     pub fn take_undecided(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.undecided)
     }
@@ -58,7 +61,7 @@
         self.untried.is_empty().then_some(self.counts)
     }
 
-    /// Records that the attempt of a message was not sent after all.
+    /// Records that an attempt that was reported by [`Recovery::attempted`] in this iteration was not sent.
     pub fn attempt_undone(&mut self, message: u32) {
         if self.first_attempted.remove(&message) {
             self.counts.attempted -= 1;
@@ -82,7 +85,8 @@
     }
 }
 
-/// Returns the event by which the decision library learns of a recovered message in its present state.
+/// Returns the event that passes a recovered message and its possibly executed attempts to the decision
+/// library.
 pub fn recovered_event(number: u32, message: &InFlightMessage, clock: Clock) -> Event {
     let mut unresolved = Vec::new();
     for attempt in &message.pending.possibly_executed {
@@ -98,13 +102,13 @@
 }
 
 impl Core {
-    /// Restores the state that the journal's records add up to.
+    /// Restores the state of the replayed journal.
     pub(super) fn restore(&mut self, replay: Replay) {
         for completed in replay.completed {
             self.deduplication.insert(completed, self.clock.wall_now());
         }
-        // The cooldown starts again: an endpoint may not have seen the end of the attempt before the previous
-        // process exited.
+        // The cooldown starts again in full length: the endpoint may have noticed the end of the attempt only
+        // when the previous process exited.
         for (ordering_key, until) in replay.key_cooldowns {
             if until > self.clock.wall_now() {
                 self.start_key_cooldown(ordering_key);
@@ -135,7 +139,8 @@
             "message recovered"
         );
         self.recovery.add(number, &pending);
-        // Attempts in flight were reset when the previous process exited, possibly just now.
+        // The connections of attempts in flight were reset when the previous process exited, possibly just
+        // now, and the endpoint may still be executing them.
         if !pending.possibly_executed.is_empty() {
             self.start_key_cooldown(pending.message.ordering_key);
         }
@@ -145,7 +150,8 @@
         self.in_flight.insert(number, pending, deadline);
     }
 
-    /// Returns the records that add up to the present state: the content of a new journal file.
+    /// Returns the records from which a replay restores the present state: the first records of a new journal
+    /// file.
     pub fn snapshot(&self) -> Vec<Record> {
         let mut records = vec![Record::Names {
             classes: self.settings.class_names.clone(),
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -1,41 +1,41 @@
-//! The phases of a graceful shutdown, and what ends each of them.
+//! The state machine of a graceful shutdown: its phases and the conditions that end them.
 //!
 //! This is the only module that compares times since the signal; all others query the phase.
 //!
-//! Phases begin by time, but no wake-up of the event loop is scheduled for them. The loop wakes at least
-//! every 100 ms for the sweep of client connections, so that a phase begins up to that much late.
+//! No wake-up of the event loop is scheduled for the end of a phase. The loop wakes at least every 100 ms for
+//! the sweep of client connections, so a phase may begin up to 100 ms late.
 
 use super::clock::MILLISECOND;
 use linnetcart::Time;
 
-/// Clients are served as before for this long after the signal. It is longer than the 400 ms that a client
-/// waits for its answer, so that requests in progress at the signal are answered as usual.
+/// Time after the signal during which clients are served as before. It is longer than the 400 ms that a
+/// client waits for its answer, so that requests in progress at the signal are answered as usual.
 pub const SIGNAL_GRACE_PERIOD: Time = 500 * MILLISECOND;
-/// No decision is made, and so no attempt is started, later than this after the signal. Attempts in flight
-/// then have until [`LAST_ANSWER_TIMEOUT`] to end. An earlier end would leave the courier idle until its
-/// restart.
-pub const LAST_DECISION_TIMEOUT: Time = 2700 * MILLISECOND;
-/// No answer is awaited later than this after the signal. The platform kills a process 3.7 s after the signal
-/// at the earliest, and the last answers have to be sent before. The next process takes over what is left.
-pub const LAST_ANSWER_TIMEOUT: Time = 3400 * MILLISECOND;
+/// Time after the signal at which decisions stop, and with them new attempts. Attempts in flight then have
+/// until [`ATTEMPT_CUTOFF`] to end. An earlier cutoff would leave the courier idle until its restart.
+pub const DECISION_CUTOFF: Time = 2700 * MILLISECOND;
+/// Time after the signal at which the process stops waiting for attempts and acknowledgements and exits. The
+/// platform kills a process 3.7 s after the signal at the earliest; the last answers to clients have to be
+/// sent before. The next process recovers the remaining messages from the journal.
+pub const ATTEMPT_CUTOFF: Time = 3400 * MILLISECOND;
 
 /// A phase of the shutdown. Phases only ever advance, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// No signal arrived.
+    /// No termination signal has arrived.
     Serving,
-    /// A signal arrived; nothing has changed for clients yet. Ends after [`SIGNAL_GRACE_PERIOD`].
+    /// A signal arrived; clients are served as before. Ends [`SIGNAL_GRACE_PERIOD`] after the signal.
     Signalled,
     /// Connections are still accepted, but each answer says `Connection: close` and idle connections are
     /// closed. Ends when the listener is closed, with the next sweep of clients.
     Draining,
-    /// The listener is closed; requests on open connections are answered. Ends after
-    /// [`LAST_DECISION_TIMEOUT`].
+    /// The listener is closed; requests on open connections are answered. Ends [`DECISION_CUTOFF`] after the
+    /// signal.
     ClosedToClients,
-    /// No decision is made any more; attempts in flight are awaited. Ends when no attempt is in flight and no
-    /// notification is unacknowledged, or after [`LAST_ANSWER_TIMEOUT`].
-    LastAnswers,
-    /// The program may exit.
+    /// No decision is made any more; the process waits for attempts in flight and for the acknowledgement of
+    /// notifications. Ends when there are none, or [`ATTEMPT_CUTOFF`] after the signal.
+    AwaitingAttempts,
+    /// The process may exit.
     Ended,
 }
 
@@ -46,12 +46,12 @@
     Closed,
 }
 
-/// Whether anything is awaited in [`Phase::LastAnswers`].
+/// Whether [`Phase::AwaitingAttempts`] has anything to wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutstandingWork {
     /// Attempts are in flight or notifications are unacknowledged.
     Some,
-    /// Nothing is awaited.
+    /// No attempt is in flight and no notification is unacknowledged.
     None,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Shutdown {
-    /// Creates the state of a process that serves.
+    /// Creates the state before any signal, [`Phase::Serving`].
     pub fn new() -> Shutdown {
         Shutdown { phase: Phase::Serving, signalled_at: None, listener: Listener::Open }
     }
@@ -74,19 +74,19 @@
         self.phase
     }
 
-    /// Handles a termination signal. A second one has no effect.
+    /// Handles a termination signal. Further signals have no effect: all times count from the first.
     pub fn signal(&mut self, now: Time) {
         self.signalled_at.get_or_insert(now);
         self.advance(now);
     }
 
-    /// Ends the phases whose time has passed.
+    /// Advances to the phase that the time since the signal requires, but never back.
     pub fn advance(&mut self, now: Time) {
         let Some(signalled_at) = self.signalled_at else { return };
         let by_time = if now < signalled_at + SIGNAL_GRACE_PERIOD {
             Phase::Signalled
-        } else if now >= signalled_at + LAST_DECISION_TIMEOUT {
-            Phase::LastAnswers
+        } else if now >= signalled_at + DECISION_CUTOFF {
+            Phase::AwaitingAttempts
         } else if self.listener == Listener::Open {
             Phase::Draining
         } else {
@@ -95,17 +95,17 @@
         self.phase = self.phase.max(by_time);
     }
 
-    /// Whether each answer to a client closes its connection.
+    /// Whether each answer to a client says `Connection: close` and idle connections are closed.
     pub fn closes_after_answer(&self) -> bool {
         self.phase >= Phase::Draining
     }
 
     /// Whether decisions are made and attempts started.
     pub fn allows_decisions(&self) -> bool {
-        self.phase < Phase::LastAnswers
+        self.phase < Phase::AwaitingAttempts
     }
 
-    /// Closes the listener if the phase requires it. Returns `true` once, when the caller has to close it.
+    /// Returns `true` once, when the caller has to close the listener: from [`Phase::Draining`] on.
     pub fn close_listener(&mut self) -> bool {
         if self.phase < Phase::Draining || self.listener == Listener::Closed {
             return false;
@@ -115,11 +115,12 @@
         true
     }
 
-    /// Ends the last phase when nothing is awaited any more or its time has passed.
+    /// Ends the shutdown if no work is outstanding in [`Phase::AwaitingAttempts`], or [`ATTEMPT_CUTOFF`]
+    /// after the signal.
     pub fn finish(&mut self, now: Time, work: OutstandingWork) {
         let Some(signalled_at) = self.signalled_at else { return };
-        let timed_out = now >= signalled_at + LAST_ANSWER_TIMEOUT;
-        let done = self.phase == Phase::LastAnswers && work == OutstandingWork::None;
+        let timed_out = now >= signalled_at + ATTEMPT_CUTOFF;
+        let done = self.phase == Phase::AwaitingAttempts && work == OutstandingWork::None;
         if timed_out || done {
             self.phase = Phase::Ended;
         }
--- a/crates/platform/src/core/shutdown/tests.rs
+++ b/crates/platform/src/core/shutdown/tests.rs
@@ -29,39 +29,39 @@
     assert_eq!(shutdown.phase(), Phase::Draining);
     assert!(shutdown.closes_after_answer() && shutdown.allows_decisions());
     assert!(shutdown.close_listener() && !shutdown.close_listener(), "once");
-    shutdown.advance(SIGNAL + LAST_DECISION_TIMEOUT - 1);
-    shutdown.finish(SIGNAL + LAST_DECISION_TIMEOUT - 1, OutstandingWork::None);
+    shutdown.advance(SIGNAL + DECISION_CUTOFF - 1);
+    shutdown.finish(SIGNAL + DECISION_CUTOFF - 1, OutstandingWork::None);
     assert_eq!(shutdown.phase(), Phase::ClosedToClients);
-    shutdown.advance(SIGNAL + LAST_DECISION_TIMEOUT);
-    assert_eq!(shutdown.phase(), Phase::LastAnswers);
+    shutdown.advance(SIGNAL + DECISION_CUTOFF);
+    assert_eq!(shutdown.phase(), Phase::AwaitingAttempts);
     assert!(!shutdown.allows_decisions());
-    shutdown.finish(SIGNAL + LAST_ANSWER_TIMEOUT - 1, OutstandingWork::Some);
-    assert_eq!(shutdown.phase(), Phase::LastAnswers);
-    shutdown.finish(SIGNAL + LAST_ANSWER_TIMEOUT, OutstandingWork::Some);
+    shutdown.finish(SIGNAL + ATTEMPT_CUTOFF - 1, OutstandingWork::Some);
+    assert_eq!(shutdown.phase(), Phase::AwaitingAttempts);
+    shutdown.finish(SIGNAL + ATTEMPT_CUTOFF, OutstandingWork::Some);
     assert_eq!(shutdown.phase(), Phase::Ended);
 }
 
 #[test]
 fn shutdown_with_nothing_outstanding_ends_early() {
     let mut shutdown = signalled();
-    shutdown.advance(SIGNAL + LAST_DECISION_TIMEOUT);
-    shutdown.finish(SIGNAL + LAST_DECISION_TIMEOUT, OutstandingWork::None);
+    shutdown.advance(SIGNAL + DECISION_CUTOFF);
+    shutdown.finish(SIGNAL + DECISION_CUTOFF, OutstandingWork::None);
     assert_eq!(shutdown.phase(), Phase::Ended);
-    shutdown.advance(SIGNAL + LAST_DECISION_TIMEOUT);
+    shutdown.advance(SIGNAL + DECISION_CUTOFF);
     assert_eq!(shutdown.phase(), Phase::Ended, "the end is final");
 }
 
 #[test]
 fn shutdown_second_signal_changes_nothing() {
     let mut shutdown = signalled();
-    shutdown.signal(SIGNAL + LAST_DECISION_TIMEOUT);
-    assert_eq!(shutdown.phase(), Phase::LastAnswers, "times count from the first signal");
+    shutdown.signal(SIGNAL + DECISION_CUTOFF);
+    assert_eq!(shutdown.phase(), Phase::AwaitingAttempts, "times count from the first signal");
 }
 
 #[test]
 fn shutdown_stalled_past_last_decision_still_closes_listener() {
     let mut shutdown = signalled();
-    shutdown.advance(SIGNAL + LAST_DECISION_TIMEOUT);
+    shutdown.advance(SIGNAL + DECISION_CUTOFF);
     assert!(shutdown.close_listener());
-    assert_eq!(shutdown.phase(), Phase::LastAnswers);
+    assert_eq!(shutdown.phase(), Phase::AwaitingAttempts);
 }
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -1,4 +1,5 @@
-//! From a client's request to its answer: the part of an iteration that admits messages.
+//! Submissions: handles the requests of clients, passes valid messages to the next decision and answers each
+//! request with its result. Also closes connections of clients.
 
 use super::admission::{AdmissionDecision, Answer, Requester};
 use super::client_connections::{ClientId, IdlePolicy, OverdueClient, RequestEvent};
@@ -11,47 +12,48 @@
 use linnetcart::{Event, Time};
 use linnetcart_http::Persistence;
 
-/// Why a message is rejected.
+/// Why a valid message is rejected. Written to the log by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RejectReason {
-    /// Its time is over.
+    /// Its deadline has passed.
     Expired,
-    /// As many messages are in flight as may be.
+    /// `max_in_flight_messages` messages without a final outcome are in flight.
     TooManyInFlight,
-    /// It does not fit into the journal.
+    /// It does not fit into the part of the journal that messages in flight may take.
     JournalFull,
-    /// The journal cannot be written.
+    /// No record can be written to the journal.
     JournalUnwritable,
     /// The decision library rejected it.
     Decided,
 }
 
-/// Why a client's connection is closed.
+/// Why a client's connection is closed. Written to the log by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCloseReason {
     /// The answer to its last request was written.
     Answered,
-    /// The client sends no more.
+    /// The client shut down its sending side, and no answer is outstanding.
     HalfClosed,
-    /// No request is in progress.
+    /// No request is in progress, and the idle timeout or the shutdown requires the close.
     Idle,
 }
 
-/// What is known of the id of a submitted message.
+/// How a submitted message relates to a message that is known by the same id.
 enum KnownId {
     /// The same message is already accepted.
     Accepted,
-    /// The same message awaits this iteration's decision, which answers all requests that submitted it.
+    /// The same message is part of this iteration's decision, which answers all requests that submitted it.
     AwaitingDecision {
-        /// Its number.
+        /// The message's number.
         number: u32,
     },
-    /// A different message has the id, or had it.
+    /// The id belongs to a different message, in flight or completed.
     OtherMessage(RequestError),
 }
 
 impl Core {
-    /// Handles the request of a client. A submission is answered once its message is decided.
+    /// Handles the buffered request of a client, if it is complete. A valid submission is answered after the
+    /// decision on its message, any other request at once.
     pub(super) fn read_request(&mut self, client: ClientId) {
         let request = match self.clients.request(client) {
             RequestEvent::Incomplete => return,
@@ -73,6 +75,8 @@
         }
     }
 
+    /// Queues a message for the decision, or answers at once if it is a duplicate or cannot be accepted. The
+    /// remaining time counts from the arrival of the request's last byte.
     fn submit(&mut self, requester: Requester, submitted: SubmittedMessage, body: Vec<u8>) {
         if !self.discovery.endpoints().has_destination(submitted.destination) {
             return self.reject_invalid(requester.client, RequestError::UnknownDestination);
@@ -95,7 +99,7 @@
         self.in_flight.insert(number, PendingMessage::new(message), deadline);
     }
 
-    /// Looks up the id of a message. Returns `None` for a new one.
+    /// Looks up the id of a message among completed and uncompleted messages. Returns `None` for a new id.
     fn find_id(&self, message: &Message) -> Option<KnownId> {
         match self.deduplication.find(message) {
             Some(IdMatch::SameMessage) => return Some(KnownId::Accepted),
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Returns why a message cannot be accepted, whatever the decision library says.
+    /// Returns why a message must be rejected without a decision of the library, or `None` if it need not be.
     fn reject_reason(&self, message: &Message, deadline: Time) -> Option<RejectReason> {
         let max_uncompleted = self.settings.settings.max_in_flight_messages as usize;
         if deadline <= self.clock.now() {
@@ -143,8 +147,8 @@
         self.admission.await_decision(number, requester);
     }
 
-    /// Answers the requests whose messages were decided. A message that is not accepted is removed: no record
-    /// of it exists, and its client needs no status notification.
+    /// Answers all requests for the messages that were decided. A message that is not accepted is removed:
+    /// there is no record of it, and the answer replaces a status notification.
     pub(super) fn answer_decided(&mut self, decisions: Vec<AdmissionDecision>) {
         for decision in decisions {
             let number = decision.message;
@@ -188,7 +192,7 @@
         self.answered(requester.client, persistence);
     }
 
-    /// Answers that a message is accepted, which depends on the record of that.
+    /// Answers that a message is accepted. The answer is sent only if the acceptance is recorded.
     fn answer_accepted(&mut self, requester: Requester, message: u32) {
         let persistence = self.persistence_after_answer(requester);
         self.effects.acceptance(message, requester.client, persistence);
@@ -209,15 +213,16 @@
         }
     }
 
-    /// Answers a request that is not a valid submission, and closes its connection.
+    /// Answers an invalid request with an error status, and closes its connection.
     fn reject_invalid(&mut self, client: ClientId, error: RequestError) {
         tracing::debug!(client, %error, "request invalid");
         self.counters.invalid_requests += 1;
         self.answer(Requester { client, persistence: Persistence::Close }, Answer::Invalid(error));
     }
 
-    /// Closes connections that have timed out and, from [`Phase::Draining`](super::shutdown::Phase::Draining)
-    /// on, the listener.
+    /// Closes idle connections and answers incomplete requests with 408, once they have timed out. From
+    /// [`Phase::Draining`](super::shutdown::Phase::Draining) on, closes every idle connection and the
+    /// listener.
     pub(super) fn sweep_clients(&mut self) {
         if !self.clients.begin_sweep(self.clock.now()) {
             return;
--- a/crates/platform/src/core/tests/harness.rs
+++ b/crates/platform/src/core/tests/harness.rs
@@ -6,7 +6,7 @@
 pub use crate::core::attempts::AttemptId;
 pub use crate::core::clock::MILLISECOND;
 pub use crate::core::decisions::INITIAL_SYNC_TIMEOUT;
-pub use crate::core::shutdown::LAST_DECISION_TIMEOUT;
+pub use crate::core::shutdown::DECISION_CUTOFF;
 pub use crate::core::{ClientId, ConnectionId, Core, CoreEvent, NotificationCounts, OutcomeCounts, Output};
 pub use crate::records::{ClockReference, FinalOutcome, Message, Record, Replay, SentAttempt};
 pub use linnetcart::{AttemptOutcome, EndpointStatus, Event, Time};
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -32,7 +32,7 @@
 fn attempt_without_connection_at_last_decision_not_started() {
     let mut harness = Harness::new();
     harness.core.begin_shutdown();
-    harness.now += LAST_DECISION_TIMEOUT - 100 * MILLISECOND;
+    harness.now += DECISION_CUTOFF - 100 * MILLISECOND;
     let connection = harness.begin_connecting();
     harness.now += 200 * MILLISECOND;
     harness.core.upstream_connected(connection);
--- a/crates/platform/src/core/unrecorded.rs
+++ b/crates/platform/src/core/unrecorded.rs
@@ -1,16 +1,20 @@
-//! What becomes of an iteration whose records could not be written.
+//! Rollback of effects whose journal records could not be written, and the last check of attempts before they
+//! are sent.
 //!
-//! | effect | depends on | why |
-//! | --- | --- | --- |
-//! | 202 | the record of the acceptance | the message is owed from then on, also by the next process |
-//! | call | the record of the attempt, unless its class needs none | the next process would repeat the attempt |
-//! | status notification | the record of the completion, until the message's time is over | the next process would \
-//!   attempt a message of which the platform was notified; after its time it cannot, and a repeated notification \
-//!   is harmless |
-//! | refusal, close, connect | nothing | repeating them is harmless |
+//! The journal is a write-ahead log: an effect that depends on a record takes place only after the record is
+//! written.
 //!
-//! Nothing waits for a record and leaves later: what depends on a missing one is undone at once, as never sent,
-//! and decided anew when records can be written.
+//! - A 202 depends on the record of the acceptance: after a 202, later processes must deliver the message.
+//! - The request of an attempt depends on the record of the attempt, unless the message's class is idempotent
+//!   and not ordered: a later process repeats an attempt that it does not know of.
+//! - A status notification depends on the record of the completion until the message's deadline: a later
+//!   process could attempt a message that was reported as completed. After the deadline it makes no attempt,
+//!   and a repeated notification is harmless.
+//! - Rejections, closes and connects depend on no record: repeating them is harmless.
+//!
+//! Acceptances and attempts are never delayed until their record can be written: they are undone within the
+//! iteration. A client gets 503 instead of 202; an attempt ends as [`AttemptOutcome::LocalFault`], and the
+//! decision library decides on its message again.
 
 use super::attempts::AttemptId;
 use super::clock::MILLISECOND;
@@ -21,11 +25,14 @@
 use linnetcart::{AttemptOutcome, Event, Time};
 use std::collections::BTreeSet;
 
-/// An attempt is not sent on input that is older: calls within 100 ms of a Retry-After are let through.
+/// Maximum time between reading the input of a decision and sending the attempts decided on it. A call sent
+/// within 100 ms of the arrival of a Retry-After does not count as a violation of it; the attempts of a
+/// decision that did not know the Retry-After must leave within that time.
 const MAX_INPUT_AGE: Time = 30 * MILLISECOND;
 
 impl Core {
-    /// The records of this iteration are written: its effects may be carried out.
+    /// Handles the success of writing this iteration's records. Releases the status notifications that waited
+    /// for theirs.
     pub fn records_written(&mut self) {
         self.set_journal_state(JournalState::Writable);
         if self.notifier.release_all() {
@@ -33,7 +40,8 @@
         }
     }
 
-    /// The records of this iteration are not written, and none can be until [`Core::records_written`].
+    /// Handles the failure to write this iteration's records: rejects the messages accepted in it and undoes
+    /// the attempts that need a record. No record can be written until [`Core::records_written`] is called.
     pub fn records_not_written(&mut self, records: &[Record]) {
         self.set_journal_state(JournalState::Unwritable);
         let mut unaccepted = BTreeSet::new();
@@ -54,16 +62,17 @@
         self.put_closes_first();
     }
 
-    /// Whether an attempt of a message may begin only once it is recorded.
+    /// Whether an attempt of a message may be sent only after it is recorded.
     pub(super) fn attempt_needs_record(&self, number: u32) -> bool {
         let Some(message) = self.in_flight.get(number) else { return true };
         let class = self.settings.settings.classes.get(usize::from(message.message().class));
         class.is_none_or(|class| class.attempt_needs_record())
     }
 
-    /// Checks the attempts of this iteration again right before they are sent. `input_read_at` is when the input was
-    /// read that they were decided on. If the process was held up since, an answer, a Retry-After or an endpoint's
-    /// drain may have arrived: the attempts are undone, and decided anew on that.
+    /// Checks the attempts of this iteration again right before they are sent: undoes those whose deadline
+    /// has passed, and all if `now` is more than [`MAX_INPUT_AGE`] after `input_read_at`, the time at which
+    /// the input of their decision was read. If the process was stalled for so long, unread input may contain
+    /// an answer, a Retry-After or an endpoint's drain, and the next decision takes it into account.
     pub fn recheck_attempts(&mut self, input_read_at: Time, now: Time) {
         let is_outdated = now > input_read_at + MAX_INPUT_AGE;
         for id in self.effects.attempts() {
@@ -73,26 +82,28 @@
         }
     }
 
-    /// Whether a connection carries the request of an attempt.
+    /// Whether a connection is assigned to an attempt.
     pub fn carries_attempt(&self, connection: ConnectionId) -> bool {
         self.pool.attempt_of(connection).is_some()
     }
 
-    /// The system accepts no byte at present on the connection of an attempt, whose request of `length` bytes was
-    /// taken back. It would leave at some later time, unjudged.
+    /// Handles an attempt whose request of `length` bytes was removed from the connection's send queue,
+    /// because the kernel accepted no byte of it (for example, `send` failed with `ENOBUFS`). Left in the
+    /// queue, it would be sent at a later time without the check of [`Core::recheck_attempts`].
     pub fn attempt_not_written(&mut self, connection: ConnectionId, length: usize) {
         if let Some(id) = self.pool.attempt_of(connection) {
             self.end_unsent(id, length);
         }
     }
 
-    /// Ends an attempt of this iteration as not sent.
+    /// Removes the request of an attempt from this iteration's outputs and ends the attempt as not sent.
     fn undo_attempt(&mut self, id: AttemptId) {
         if let Some(length) = self.effects.drop_attempt(id) {
             self.end_unsent(id, length);
         }
     }
 
+    /// Ends an attempt whose request of `length` bytes was counted as sent but never left the process.
     fn end_unsent(&mut self, id: AttemptId, length: usize) {
         if self.attempts.get(id).is_none() {
             return;
@@ -108,7 +119,7 @@
         self.finish_attempt(FinishedAttempt::new(id, AttemptOutcome::LocalFault));
     }
 
-    /// Rejects a message that was accepted in this iteration.
+    /// Rejects a message that was accepted in this iteration, and withdraws it from the decision library.
     fn undo_acceptance(&mut self, number: u32) {
         let rejected = self.effects.reject_acceptance(number);
         self.counters.accepted -= 1;
