--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -1,7 +1,7 @@
 //! The discovery client: the watch on the endpoint list, its connection, and the list itself.
 //!
-//! It owns the list's version, the backoff and the endpoints' numbers. An entry that cannot be read is never
-//! skipped for good: the complete list is requested again.
+//! It owns the list's version, the reconnect backoff and the endpoints' numbers. After an entry that cannot
+//! be read, the next connect requests the complete list, so that no endpoint is missing for good.
 
 mod endpoint_list;
 mod watch;
@@ -12,7 +12,7 @@
 pub use watch::{EndpointWatch, WatchError, WatchProgress};
 
 use super::connection_pool::ConnectionId;
-use super::reconnect::ConnectionDemand;
+use super::reconnect::ConnectionAction;
 use crate::config::WatchEvent;
 use linnetcart::Time;
 use linnetcart_deployment_settings::DeploymentSettings;
@@ -48,8 +48,8 @@
         &self.endpoints
     }
 
-    /// Whether discovery has sent anything: all events up to that moment, or an empty line if there were
-    /// none.
+    /// Whether the initial sync with discovery is complete: it has sent the events after the cached version,
+    /// or an empty line if there are none.
     pub fn has_synced(&self) -> bool {
         self.watch.has_synced()
     }
@@ -59,8 +59,8 @@
         self.connection == Some(id)
     }
 
-    /// Returns what has to be done about the connection now.
-    pub fn poll(&mut self, now: Time) -> ConnectionDemand {
+    /// Returns whether the caller has to establish or close the connection now.
+    pub fn poll(&mut self, now: Time) -> ConnectionAction {
         self.watch.poll(now)
     }
 
@@ -87,14 +87,13 @@
         self.watch.disconnected(now);
     }
 
-    /// Handles a connect that this machine could not begin.
+    /// Handles a connect that failed locally, for example because no file descriptor or port was available.
     pub fn connect_failed_locally(&mut self, now: Time) {
         self.connection = None;
         self.watch.connect_failed_locally(now);
     }
 
-    /// Handles received bytes. Returns the events in them, and an error after which the connection has to be
-    /// closed.
+    /// Handles received bytes. Returns the complete events, and an error if the connection has to be closed.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) -> WatchProgress {
         self.watch.receive(now, bytes)
     }
@@ -108,14 +107,14 @@
         self.endpoints.apply(event, settings, now)
     }
 
-    /// Changes the address of discovery. Returns the connection to be closed, if any.
+    /// Changes the address of discovery and restarts the watch. Returns the connection to be closed, if any.
     pub fn change_address(&mut self, address: SocketAddr) -> Option<ConnectionId> {
         self.address = address;
         self.watch.restart();
         self.connection.take()
     }
 
-    /// Returns when to poll again.
+    /// Returns when to poll again, at the latest.
     pub fn next_wake(&self) -> Time {
         self.watch.next_wake()
     }
--- a/crates/platform/src/core/discovery/endpoint_list.rs
+++ b/crates/platform/src/core/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: endpoints by the names that discovery uses and by the numbers that the decision library
-//! uses.
+//! The endpoint list: maps the names by which discovery identifies endpoints to the numbers by which the
+//! decision library does, and holds each endpoint's address, zone and status.
 
 use crate::config::{EndpointEntry, ListedStatus, WatchEvent};
 use crate::core::clock::MILLISECOND;
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// How long a removed endpoint keeps its number. A Retry-After that was received under the number stays in
-/// force if the name is listed again.
+/// How long a removed endpoint keeps its number. If its name is listed again within this time, a Retry-After
+/// that was received under the number is still in force.
 const REMOVED_RETENTION: Time = 60_000 * MILLISECOND;
 
 /// An endpoint of the list.
@@ -26,12 +26,12 @@
     destination: u32,
     kind: u8,
     started_at_ms: u64,
-    /// When the endpoint was removed, or last listed.
+    /// When the endpoint's entry was last applied or the endpoint was removed; monotonic time.
     changed_at: Time,
 }
 
 impl ListedEndpoint {
-    /// Returns the entry of this endpoint in an event for the decision library.
+    /// Returns this endpoint in the form of the decision library's events. `rate` is the one of its entry.
     fn event_entry(&self, number: u32, rate: f64) -> Endpoint {
         Endpoint {
             id: number,
@@ -48,7 +48,8 @@
         self.changed_at = now;
     }
 
-    /// Whether connections that were made to the endpoint as it was listed previously are of no further use.
+    /// Whether connections that were established to the `previous` listing of this endpoint must be closed,
+    /// because the endpoint was removed, moved or restarted.
     fn makes_connections_stale(&self, previous: &ListedEndpoint) -> bool {
         let was_moved = previous.address != self.address;
         let was_restarted = previous.started_at_ms != self.started_at_ms;
@@ -56,7 +57,7 @@
     }
 }
 
-/// The result of an event of the watch.
+/// The result of applying an event of the watch.
 #[derive(Debug)]
 pub struct ListUpdate {
     /// The event for the decision library.
@@ -65,7 +66,7 @@
     pub stale: Vec<u32>,
 }
 
-/// The changes of an event that is being applied.
+/// The changes collected while an event is applied.
 #[derive(Debug, Default)]
 struct Changes {
     entries: Vec<Endpoint>,
@@ -75,20 +76,24 @@
 /// The endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointList {
+    /// Version of the last event.
     version: u64,
+    /// Numbers by name.
     numbers: BTreeMap<String, u32>,
     endpoints: BTreeMap<u32, ListedEndpoint>,
     last_number: u32,
+    /// Destinations for which any endpoint was ever listed.
     destinations: BTreeSet<u32>,
-    /// Zones that the settings do not name. Their indexes follow those of the settings, so that no two zones
-    /// share an index.
+    /// Zones that the settings do not contain. Their indexes follow those of the settings, so that no two
+    /// zones share an index below [`UNKNOWN_INDEX`].
     extra_zones: Vec<String>,
-    /// An entry could not be read: the complete list has to be requested.
+    /// Whether an entry could not be read since the last complete list: the complete list has to be
+    /// requested.
     has_unreadable_entry: bool,
 }
 
 impl EndpointList {
-    /// Returns the version after which changes are requested; 0 requests the complete list.
+    /// Returns the version after which the next watch requests changes; 0 requests the complete list.
     pub fn resume_version(&self) -> u64 {
         if self.has_unreadable_entry {
             0
@@ -97,12 +102,12 @@
         }
     }
 
-    /// Returns the endpoint of a number.
+    /// Returns the endpoint with a number.
     pub fn get(&self, number: u32) -> Option<&ListedEndpoint> {
         self.endpoints.get(&number)
     }
 
-    /// Returns the endpoint of a number if it is ready for new messages.
+    /// Returns the endpoint with a number if its status is [`EndpointStatus::Ready`].
     pub fn ready(&self, number: u32) -> Option<&ListedEndpoint> {
         self.get(number).filter(|endpoint| endpoint.status == EndpointStatus::Ready)
     }
@@ -133,7 +138,7 @@
         ListUpdate { event, stale: changes.stale }
     }
 
-    /// Removes the endpoints that are missing from a complete list.
+    /// Marks the endpoints that are missing from a complete list as removed.
     fn remove_unlisted(&mut self, event: &WatchEvent, now: Time, changes: &mut Changes) {
         let names: BTreeSet<&str> = event.entries.iter().map(|entry| &entry.name[..]).collect();
         for (&number, endpoint) in &mut self.endpoints {
@@ -144,7 +149,7 @@
         }
     }
 
-    /// Forgets endpoints whose retention after removal has ended.
+    /// Deletes endpoints that were removed at least [`REMOVED_RETENTION`] ago.
     fn forget_expired(&mut self, now: Time) {
         let is_old = |endpoint: &ListedEndpoint| {
             endpoint.status == EndpointStatus::Removed && endpoint.changed_at + REMOVED_RETENTION <= now
@@ -209,8 +214,9 @@
         }
     }
 
-    /// Removes the endpoint that has the entry's name under another destination. What is known of that
-    /// endpoint does not apply to the new destination, so the name gets a new number.
+    /// Marks the endpoint that has the entry's name under another destination as removed, so that the name
+    /// gets a new number: limits and failures observed under the old number do not apply to the new
+    /// destination.
     fn remove_from_other_destination(&mut self, entry: &EndpointEntry, now: Time) -> Option<Endpoint> {
         let number = *self.numbers.get(&entry.name)?;
         let previous = self.endpoints.get_mut(&number)?;
@@ -222,8 +228,8 @@
         Some(previous.event_entry(number, 0.0))
     }
 
-    /// Returns the number of an entry's name and assigns one to a new name. Returns `None` for an unknown
-    /// endpoint that is already removed.
+    /// Returns the number of an entry's name, and allocates one for a new name. Returns `None` for an unknown
+    /// endpoint that has already left.
     fn number_of(&mut self, entry: &EndpointEntry) -> Option<u32> {
         if let Some(&number) = self.numbers.get(&entry.name) {
             return Some(number);
@@ -236,6 +242,8 @@
         Some(self.last_number)
     }
 
+    /// Returns the index of a zone, and assigns the next one to a new name; [`UNKNOWN_INDEX`] if all are
+    /// assigned.
     fn zone_index(&mut self, name: &str, settings: &DeploymentSettings) -> u8 {
         let mut zones = settings.zone_names.iter().chain(&self.extra_zones);
         if let Some(index) = zones.position(|zone| zone == name) {
@@ -250,7 +258,8 @@
     }
 }
 
-/// Returns the index of a kind. All kinds that the settings do not name share the index after theirs.
+/// Returns the index of a kind. All kinds that the settings do not contain share the index after the last
+/// one.
 fn kind_index(name: &str, settings: &DeploymentSettings) -> u8 {
     let index = settings.kind_names.iter().position(|kind| kind == name);
     index.unwrap_or(settings.kind_names.len()) as u8
--- a/crates/platform/src/core/discovery/watch.rs
+++ b/crates/platform/src/core/discovery/watch.rs
@@ -1,41 +1,42 @@
-//! The watch on the endpoint list: one chunked response without end, with a JSON object for each event.
+//! The watch on the endpoint list: a streaming HTTP response in chunked encoding, with a JSON object for each
+//! event and an empty line as keep-alive.
 
 use crate::config::WatchEvent;
 use crate::core::clock::MILLISECOND;
-use crate::core::reconnect::{ConnectionDemand, Reconnect};
+use crate::core::reconnect::{ConnectionAction, Reconnect};
 use linnetcart::Time;
 use linnetcart_http::{parse_response, ChunkedDecoder, ParsedResponse};
 use std::net::SocketAddr;
 
-/// A watch that is silent for this long is considered dead: discovery sends a line every 2 s.
+/// A watch on which no byte arrives for this long is considered dead: discovery sends a line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Time = 2700 * MILLISECOND;
-/// The maximum size of an event; enough for a list of thousands of endpoints.
+/// Maximum number of bytes in an event; enough for a list of thousands of endpoints.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// Why a watch failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
     /// The response has a status other than 200, or is not chunked.
-    #[error("the watch was answered with status {0}")]
+    #[error("the response has status {0} or is not chunked")]
     Status(u16),
-    /// The response is not HTTP.
-    #[error("the watch was answered with what is no HTTP response")]
+    /// The response is not valid HTTP.
+    #[error("the response is not valid HTTP")]
     Malformed,
-    /// A chunk or an event cannot be read.
-    #[error("an event of the watch cannot be read: {0}")]
+    /// A chunk or an event cannot be decoded.
+    #[error("an event cannot be decoded: {0}")]
     InvalidEvent(String),
     /// An event exceeds the maximum size.
-    #[error("an event of the watch has more than {MAX_EVENT_BYTES} bytes")]
+    #[error("an event exceeds {MAX_EVENT_BYTES} bytes")]
     EventTooLong,
-    /// The response ended.
-    #[error("the watch ended")]
+    /// Discovery ended the response.
+    #[error("discovery ended the response")]
     Ended,
 }
 
 /// The result of bytes that were received on the watch.
 #[derive(Debug, Default, PartialEq)]
 pub struct WatchProgress {
-    /// Complete events, to be applied even after an error.
+    /// Complete events; they are applied even if an error follows.
     pub events: Vec<WatchEvent>,
     /// The error after which the connection has to be closed.
     pub error: Option<WatchError>,
@@ -60,9 +61,9 @@
     head: Vec<u8>,
     /// The decoder of the body; `None` until the head is complete.
     chunks: Option<ChunkedDecoder>,
-    /// The bytes of the body that no complete event was read from.
+    /// The bytes of the body that follow the last complete event.
     body: Vec<u8>,
-    /// A complete event or an empty line has arrived, on this connection or an earlier one.
+    /// Whether a complete event or an empty line has arrived, on this connection or an earlier one.
     synced: bool,
 }
 
@@ -84,25 +85,25 @@
         self.synced
     }
 
-    /// Returns what has to be done about the connection now.
-    pub fn poll(&mut self, now: Time) -> ConnectionDemand {
+    /// Returns whether the caller has to establish or close the connection now.
+    pub fn poll(&mut self, now: Time) -> ConnectionAction {
         if self.connection.is_connected() && self.last_byte_at + WATCH_SILENCE_TIMEOUT <= now {
-            // Without backoff: discovery accepted the connection, and its events must arrive as soon as it is
-            // back.
+            // Reconnect without backoff: discovery did accept the connection, and its events must arrive as
+            // soon as it is available again.
             self.connection.schedule_retry(now);
-            return ConnectionDemand::Close;
+            return ConnectionAction::Close;
         }
         if self.connection.connect_timed_out(now) {
             self.connection.disconnected(now);
-            return ConnectionDemand::Close;
+            return ConnectionAction::Close;
         }
         if self.connection.begin_connect(now) {
-            return ConnectionDemand::Connect;
+            return ConnectionAction::Connect;
         }
-        ConnectionDemand::Nothing
+        ConnectionAction::Nothing
     }
 
-    /// Returns when to poll again.
+    /// Returns when to poll again, at the latest.
     pub fn next_wake(&self) -> Time {
         self.connection.next_wake(self.last_byte_at + WATCH_SILENCE_TIMEOUT)
     }
@@ -122,12 +123,12 @@
         self.connection.disconnected(now);
     }
 
-    /// Handles a connect that this machine could not begin.
+    /// Handles a connect that failed locally, for example because no file descriptor or port was available.
     pub fn connect_failed_locally(&mut self, now: Time) {
         self.connection.failed_locally(now);
     }
 
-    /// Restarts the watch at once, for another address.
+    /// Resets the watch after discovery's address changed; the next poll connects without backoff.
     pub fn restart(&mut self) {
         *self = EndpointWatch { synced: self.synced, ..EndpointWatch::new() };
     }
@@ -157,7 +158,7 @@
         progress
     }
 
-    /// Decodes received bytes and appends the body's bytes in them to `body`.
+    /// Decodes received bytes and appends those that belong to the body to `body`.
     fn decode(&mut self, bytes: &[u8]) -> Result<ResponseState, WatchError> {
         if self.chunks.is_some() {
             return self.decode_chunks(bytes);
--- a/crates/platform/src/core/discovery/watch/tests.rs
+++ b/crates/platform/src/core/discovery/watch/tests.rs
@@ -7,7 +7,7 @@
 
 fn connected() -> EndpointWatch {
     let mut watch = EndpointWatch::new();
-    assert_eq!(watch.poll(NOW), ConnectionDemand::Connect);
+    assert_eq!(watch.poll(NOW), ConnectionAction::Connect);
     watch.connected(NOW, "127.0.0.1:8500".parse().unwrap(), 41);
     watch
 }
@@ -56,7 +56,7 @@
 fn watch_silent_too_long_closed_and_opened_without_backoff() {
     let mut watch = connected();
     let silent_at = NOW + WATCH_SILENCE_TIMEOUT;
-    assert_eq!((watch.next_wake(), watch.poll(silent_at - 1)), (silent_at, ConnectionDemand::Nothing));
-    assert_eq!(watch.poll(silent_at), ConnectionDemand::Close);
-    assert_eq!(watch.poll(silent_at), ConnectionDemand::Connect);
+    assert_eq!((watch.next_wake(), watch.poll(silent_at - 1)), (silent_at, ConnectionAction::Nothing));
+    assert_eq!(watch.poll(silent_at), ConnectionAction::Close);
+    assert_eq!(watch.poll(silent_at), ConnectionAction::Connect);
 }
--- a/crates/platform/src/core/discovery_traffic.rs
+++ b/crates/platform/src/core/discovery_traffic.rs
@@ -2,8 +2,8 @@
 
 use super::connection_pool::ConnectionId;
 use super::effects::{CoreEvent, Output};
-use super::reconnect::ConnectionDemand;
-use super::status_notifier::Verdict;
+use super::reconnect::ConnectionAction;
+use super::status_notifier::BatchResult;
 use super::Core;
 use crate::config::WatchEvent;
 use linnetcart_net::ConnectFailure;
@@ -17,11 +17,11 @@
         }
         let watch_connection = self.discovery.change_address(address);
         let notifier_connection = self.notifier.restart();
-        self.close_to_discovery(watch_connection);
-        self.close_to_discovery(notifier_connection);
+        self.close_discovery_connection(watch_connection);
+        self.close_discovery_connection(notifier_connection);
     }
 
-    /// Handles bytes of the watch.
+    /// Handles bytes that were received on the watch.
     pub(super) fn watch_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let progress = self.discovery.receive(self.clock.now(), bytes);
         for event in &progress.events {
@@ -29,12 +29,13 @@
         }
         if let Some(error) = progress.error {
             self.effects.event(CoreEvent::WatchFailed(error));
-            self.close_to_discovery(Some(id));
+            self.close_discovery_connection(Some(id));
             self.discovery.disconnected(self.clock.now());
         }
     }
 
-    /// Applies an event of the watch, and closes idle connections to endpoints that it makes stale.
+    /// Applies an event of the watch, and closes idle connections to endpoints that were removed, moved or
+    /// restarted.
     pub(super) fn apply_watch_event(&mut self, event: &WatchEvent) {
         let update = self.discovery.apply(event, &self.settings, self.clock.now());
         self.decisions.push(update.event);
@@ -43,19 +44,19 @@
         }
     }
 
-    /// Handles bytes of an answer to status notifications.
+    /// Handles bytes that were received in answer to status notifications.
     pub(super) fn notifier_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let acknowledged = match self.notifier.receive(bytes) {
             Ok(acknowledged) => acknowledged,
             Err(error) => {
                 self.effects.event(CoreEvent::NotificationsFailed(error));
-                self.close_to_discovery(Some(id));
+                self.close_discovery_connection(Some(id));
                 self.notifier.disconnected(self.clock.now());
                 return;
             }
         };
         for number in acknowledged.messages {
-            if acknowledged.verdict == Verdict::Rejected {
+            if acknowledged.result == BatchResult::Rejected {
                 self.report_rejected_notification(number);
             }
             self.acknowledge(number);
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Handles the end of a connection to discovery. Returns `false` if the connection is not one of these.
+    /// Handles the end of a connection to discovery. Returns `false` if the connection does not lead to
+    /// discovery.
     pub(super) fn discovery_disconnected(&mut self, id: ConnectionId) -> bool {
         if self.discovery.owns(id) {
             self.discovery.disconnected(self.clock.now());
@@ -81,7 +83,7 @@
         true
     }
 
-    /// Handles a failed connect to discovery. Returns `false` if the connection is not one of these.
+    /// Handles a failed connect to discovery. Returns `false` if the connection does not lead to discovery.
     pub(super) fn discovery_connect_failed(&mut self, id: ConnectionId, failure: ConnectFailure) -> bool {
         if failure == ConnectFailure::Remote {
             return self.discovery_disconnected(id);
@@ -96,18 +98,18 @@
         true
     }
 
-    /// Opens the watch, or closes it if it is silent.
+    /// Opens the watch, or closes it after its silence or connect timeout.
     pub(super) fn poll_discovery(&mut self) {
         match self.discovery.poll(self.clock.now()) {
-            ConnectionDemand::Nothing => {}
-            ConnectionDemand::Connect => {
+            ConnectionAction::Nothing => {}
+            ConnectionAction::Connect => {
                 let id = self.connect_to_discovery();
                 self.discovery.connecting(id);
             }
-            ConnectionDemand::Close => {
+            ConnectionAction::Close => {
                 self.effects.event(CoreEvent::WatchSilent);
                 let connection = self.discovery.take_connection();
-                self.close_to_discovery(connection);
+                self.close_discovery_connection(connection);
             }
         }
     }
@@ -115,15 +117,15 @@
     /// Connects for status notifications, closes a connection that timed out, and sends the next batch.
     pub(super) fn poll_notifier(&mut self) {
         match self.notifier.poll(self.clock.now()) {
-            ConnectionDemand::Nothing => {}
-            ConnectionDemand::Connect => {
+            ConnectionAction::Nothing => {}
+            ConnectionAction::Connect => {
                 let id = self.connect_to_discovery();
                 self.notifier.connecting(id);
             }
-            ConnectionDemand::Close => {
+            ConnectionAction::Close => {
                 self.effects.event(CoreEvent::NotificationsTimedOut);
                 let connection = self.notifier.take_connection();
-                self.close_to_discovery(connection);
+                self.close_discovery_connection(connection);
             }
         }
         if let Some(request) = self.notifier.next_request(self.clock.now(), self.discovery.address()) {
@@ -138,7 +140,7 @@
     }
 
     /// Closes a connection to discovery, if there is one.
-    fn close_to_discovery(&mut self, connection: Option<ConnectionId>) {
+    fn close_discovery_connection(&mut self, connection: Option<ConnectionId>) {
         if let Some(id) = connection {
             self.effects.output(Output::CloseUpstream(id));
         }
--- a/crates/platform/src/core/key_cooldowns.rs
+++ b/crates/platform/src/core/key_cooldowns.rs
@@ -1,21 +1,21 @@
-//! Cooldowns of ordering keys: no message of a key is sent while the key's last attempt may still be
-//! executing.
+//! Cooldowns of ordering keys: after an attempt that may still be executing, no new message of its key is
+//! attempted for a fixed time, so that messages of a key take effect in order.
 //!
-//! The decision library respects cooldowns itself, but does not know those of a previous process.
+//! The decision library enforces cooldowns as well, but does not know those of a previous process.
 
 use linnetcart::Time;
 use std::collections::BTreeMap;
 
-/// An ordering key that cools down.
+/// The cooldown of an ordering key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyCooldown {
     /// The ordering key.
     pub ordering_key: u64,
-    /// When the cooldown ends.
+    /// When the cooldown ends; monotonic time.
     pub until: Time,
 }
 
-/// The cooldowns of all ordering keys.
+/// The cooldowns of all ordering keys, in monotonic time.
 #[derive(Debug)]
 pub struct KeyCooldowns {
     duration: Time,
@@ -45,7 +45,7 @@
         self.until.get(&ordering_key).is_some_and(|&until| until > now)
     }
 
-    /// Returns the earliest end of a cooldown; [`Time::MAX`] for none.
+    /// Returns the earliest end of a cooldown after `now`; [`Time::MAX`] for none.
     pub fn next_end(&self, now: Time) -> Time {
         self.until.values().copied().filter(|&until| until > now).min().unwrap_or(Time::MAX)
     }
--- a/crates/platform/src/core/reconnect.rs
+++ b/crates/platform/src/core/reconnect.rs
@@ -1,13 +1,13 @@
-//! Reconnection to discovery with exponential backoff.
+//! The state machine of a connection to discovery that is re-established with exponential backoff.
 
 use super::clock::MILLISECOND;
 use linnetcart::Time;
 
-/// The first backoff; each following one is twice as long.
+/// The delay before the first reconnect; each following one is twice as long, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Time = 20 * MILLISECOND;
-/// The maximum backoff.
+/// The maximum delay before a reconnect.
 const MAX_BACKOFF: Time = 500 * MILLISECOND;
-/// A connect that takes longer than this has failed.
+/// A connect that is not established after this time has failed.
 const CONNECT_TIMEOUT: Time = 1000 * MILLISECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,14 +17,14 @@
     Connected,
 }
 
-/// What the owner of a connection requires of the core.
+/// What the core has to do with a connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionDemand {
+pub enum ConnectionAction {
     /// Nothing.
     Nothing,
     /// Establish the connection.
     Connect,
-    /// Close the connection; it is established again later.
+    /// Close the connection; a later poll establishes it again.
     Close,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Reconnect {
-    /// Creates a state in which the connection is due at once.
+    /// Creates a disconnected state in which a connect is due at once.
     pub fn new() -> Reconnect {
         Reconnect { state: State::Disconnected { retry_at: 0 }, backoff: MIN_BACKOFF }
     }
@@ -51,7 +51,7 @@
         matches!(self.state, State::Connecting { since } if since + CONNECT_TIMEOUT <= now)
     }
 
-    /// Begins a connect if one is due. Returns whether the connection has to be established now.
+    /// Begins a connect if one is due. Returns whether the caller has to establish the connection now.
     pub fn begin_connect(&mut self, now: Time) -> bool {
         let due = matches!(self.state, State::Disconnected { retry_at } if retry_at <= now);
         if due {
@@ -65,20 +65,21 @@
         self.state = State::Connected;
     }
 
-    /// Records that the connection was lost or closed: it is established again after the backoff, which
+    /// Records that the connection was lost or closed: a new connect is due after the backoff, which then
     /// doubles.
     pub fn disconnected(&mut self, now: Time) {
         self.state = State::Disconnected { retry_at: now + self.backoff };
         self.backoff = (2 * self.backoff).min(MAX_BACKOFF);
     }
 
-    /// Records that this machine could not begin the connect: it is tried again soon, without a longer backoff.
+    /// Records that the connect failed locally, before it reached the network: a new one is due after
+    /// [`MIN_BACKOFF`], and the backoff stays as it is.
     pub fn failed_locally(&mut self, now: Time) {
         self.schedule_retry(now + MIN_BACKOFF);
     }
 
-    /// Schedules a new connect at `time`, without a longer backoff, after a connection that ended as
-    /// expected.
+    /// Schedules a new connect at `time` and leaves the backoff as it is. Used after a connection that
+    /// discovery had accepted: it fell silent, or ended with `Connection: close`.
     pub fn schedule_retry(&mut self, time: Time) {
         self.state = State::Disconnected { retry_at: time };
     }
@@ -88,7 +89,8 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Returns when to poll again; `connected_wake` applies while the connection is established.
+    /// Returns when to poll again: the next connect or the connect timeout, or `connected_wake` while the
+    /// connection is established.
     pub fn next_wake(&self, connected_wake: Time) -> Time {
         match self.state {
             State::Disconnected { retry_at } => retry_at,
--- a/crates/platform/src/core/status_notifier.rs
+++ b/crates/platform/src/core/status_notifier.rs
@@ -1,22 +1,22 @@
-//! Status notifications: the platform is notified of each message that is completed without delivery, until
-//! it acknowledges.
+//! Status notifications: reports each message that is completed without delivery to the platform, in batches
+//! of JSON lines (`POST /status` to discovery) that are sent again until they are acknowledged.
 //!
-//! It owns the queue, its connection to discovery and the ordering keys that wait for an acknowledgement. No
-//! notification is ever dropped silently.
+//! It owns the queue, its connection to discovery and the ordering keys that wait for an acknowledgement. A
+//! notification is dropped only if discovery rejects it alone, and that is logged.
 
 use super::clock::MILLISECOND;
 use super::connection_pool::ConnectionId;
 use super::counters::NotificationCounts;
-use super::reconnect::{ConnectionDemand, Reconnect};
+use super::reconnect::{ConnectionAction, Reconnect};
 use crate::records::{FinalOutcome, Message};
 use linnetcart::Time;
 use linnetcart_http::{parse_response, ParsedResponse, Persistence};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// A batch that is not answered within this time is sent again; discovery answers at once. A notification is
-/// sent when its message's time ends and has to arrive within 300 ms, so a dead connection has to be replaced
-/// before.
+/// A batch that is not answered within this time is sent again on a new connection; discovery normally
+/// answers at once. A notification may be sent as late as its message's deadline and has to arrive at most
+/// 300 ms after it, so a dead connection has to be replaced before.
 const ANSWER_TIMEOUT: Time = 200 * MILLISECOND;
 /// Maximum number of notifications in a request.
 const MAX_BATCH: usize = 64;
@@ -24,42 +24,42 @@
 /// Why the answer to a batch is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotificationError {
-    /// The answer is not HTTP.
-    #[error("the answer is no HTTP response")]
+    /// The answer is not a valid HTTP response.
+    #[error("the answer is not a valid HTTP response")]
     Malformed,
-    /// The length of the answer's body is unknown.
-    #[error("the answer with status {0} has a body of unknown length")]
+    /// The length of the answer's body is unknown or exceeds [`linnetcart_http::MAX_BODY_BYTES`].
+    #[error("the answer with status {0} has a body of unknown or excessive length")]
     UnboundedBody(u16),
-    /// The status means neither accepted nor rejected.
-    #[error("the answer has status {0}")]
+    /// The status is neither 200, 204 nor 400, or no batch was outstanding.
+    #[error("unexpected status {0}")]
     Status(u16),
 }
 
-/// Discovery's verdict on a batch.
+/// The result of a batch, as answered by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Discovery accepted the notifications.
+pub enum BatchResult {
+    /// Status 200 or 204: discovery accepted the notifications.
     Accepted,
-    /// Discovery will never accept the notifications.
+    /// Status 400: at least one notification of the batch is invalid and will never be accepted.
     Rejected,
 }
 
-/// Messages whose notifications need not be sent again.
+/// Messages whose notifications were answered and are not sent again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Acknowledged {
     /// The messages, in the order of their notifications.
     pub messages: Vec<u32>,
-    /// Discovery's verdict on their notifications.
-    pub verdict: Verdict,
+    /// The result of their batch.
+    pub result: BatchResult,
 }
 
 impl Acknowledged {
     fn nothing() -> Acknowledged {
-        Acknowledged { messages: vec![], verdict: Verdict::Accepted }
+        Acknowledged { messages: vec![], result: BatchResult::Accepted }
     }
 }
 
-/// A request that notifies the platform of a batch of outcomes.
+/// A request with a batch of notifications.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotificationRequest {
     /// The connection on which the request is sent.
@@ -68,17 +68,19 @@
     pub bytes: Vec<u8>,
 }
 
+/// The notification of a message's outcome.
 #[derive(Debug)]
 struct Notification {
     message: u32,
+    /// The JSON object with its line feed.
     line: Vec<u8>,
 }
 
-/// A notification whose completion is not recorded yet.
+/// A notification of a completion that is not written to the journal yet.
 #[derive(Debug)]
 struct UnrecordedNotification {
     notification: Notification,
-    /// When the message's time is over, so that no process can attempt it any more.
+    /// The message's deadline: no process attempts the message later, so the notification needs no record.
     release_at: Time,
 }
 
@@ -89,11 +91,14 @@
     connection: Option<ConnectionId>,
     /// Unacknowledged notifications in the order of their completion.
     queue: VecDeque<Notification>,
-    /// Notifications that are sent once their completion is recorded, or the message's time is over.
+    /// Notifications that are queued once their completion is recorded or their message's deadline has
+    /// passed.
     unrecorded: Vec<UnrecordedNotification>,
-    /// Number of notifications at the front of the queue that are sent and not answered.
+    /// Size of the outstanding batch: the notifications at the front of the queue that are sent and not
+    /// answered.
     sent: usize,
-    /// Maximum size of the next batch. It is 1 after a batch was rejected, to find the notification at fault.
+    /// Maximum number of notifications in the next batch. It drops to 1 when a batch is rejected, to isolate
+    /// the invalid notification, and doubles with each accepted batch.
     batch_limit: usize,
     sent_at: Time,
     response: Vec<u8>,
@@ -119,9 +124,9 @@
         }
     }
 
-    /// Adds the notification of a message's outcome, which is queued by [`StatusNotifier::release_all`] once the
-    /// outcome is recorded, or by [`StatusNotifier::release_due`] after `deadline`. A delivered message needs
-    /// none.
+    /// Adds the notification of a message's outcome. [`StatusNotifier::release_all`] queues it once the
+    /// outcome is recorded, [`StatusNotifier::release_due`] at `deadline` (monotonic time) at the latest. A
+    /// delivered message needs none.
     pub fn push(&mut self, number: u32, message: &Message, outcome: FinalOutcome, deadline: Time) {
         let mut line = serde_json::json!({"id": message.id_text(), "state": "failed"});
         match outcome {
@@ -142,36 +147,38 @@
         self.unrecorded.push(UnrecordedNotification { notification, release_at: deadline });
     }
 
-    /// Queues the notifications whose outcomes are recorded now. Returns whether there are any.
+    /// Queues all notifications that wait for a record, after records were written. Returns whether there
+    /// were any.
     pub fn release_all(&mut self) -> bool {
         let any = !self.unrecorded.is_empty();
         self.queue.extend(self.unrecorded.drain(..).map(|unrecorded| unrecorded.notification));
         any
     }
 
-    /// Queues the notifications of messages whose time is over.
+    /// Queues the unrecorded notifications of messages whose deadline has passed.
     pub fn release_due(&mut self, now: Time) {
         let due = self.unrecorded.extract_if(.., |unrecorded| unrecorded.release_at <= now);
         self.queue.extend(due.map(|unrecorded| unrecorded.notification));
     }
 
-    /// Returns the number of unacknowledged notifications.
+    /// Returns the number of unacknowledged notifications, including unrecorded ones.
     pub fn len(&self) -> usize {
         self.queue.len() + self.unrecorded.len()
     }
 
-    /// Returns the counts of notifications queued since the start.
+    /// Returns the counts of notifications added since the start.
     pub fn counts(&self) -> NotificationCounts {
         self.counts
     }
 
-    /// Whether a message has to wait for the acknowledgement of another message of its ordering key.
+    /// Whether a message must not be attempted yet, because the notification of another message of its
+    /// ordering key is unacknowledged.
     pub fn blocks(&self, ordering_key: u64, message: u32) -> bool {
         let Some(messages) = self.unacknowledged_by_key.get(&ordering_key) else { return false };
         messages.iter().any(|&other| other != message)
     }
 
-    /// Ends the wait of an ordering key for a message's acknowledgement.
+    /// Removes a message from the unacknowledged ones of its ordering key.
     pub fn release(&mut self, ordering_key: u64, message: u32) {
         if let Some(messages) = self.unacknowledged_by_key.get_mut(&ordering_key) {
             messages.remove(&message);
@@ -186,22 +193,22 @@
         self.connection == Some(id)
     }
 
-    /// Returns what has to be done about the connection now.
-    pub fn poll(&mut self, now: Time) -> ConnectionDemand {
+    /// Returns whether the caller has to establish or close the connection now.
+    pub fn poll(&mut self, now: Time) -> ConnectionAction {
         let answer_timed_out =
             self.reconnect.is_connected() && self.sent > 0 && self.sent_at + ANSWER_TIMEOUT <= now;
         if answer_timed_out || self.reconnect.connect_timed_out(now) {
             self.reconnect.disconnected(now);
             self.sent = 0;
-            return ConnectionDemand::Close;
+            return ConnectionAction::Close;
         }
         if !self.queue.is_empty() && self.reconnect.begin_connect(now) {
-            return ConnectionDemand::Connect;
+            return ConnectionAction::Connect;
         }
-        ConnectionDemand::Nothing
+        ConnectionAction::Nothing
     }
 
-    /// Returns when to poll again; [`Time::MAX`] without notifications.
+    /// Returns when to poll again, at the latest; [`Time::MAX`] without notifications.
     pub fn next_wake(&self) -> Time {
         let release_at = self.unrecorded.iter().map(|unrecorded| unrecorded.release_at);
         let next_release = release_at.min().unwrap_or(Time::MAX);
@@ -237,7 +244,7 @@
         self.sent = 0;
     }
 
-    /// Handles a connect that this machine could not begin.
+    /// Handles a connect that failed locally, for example because no file descriptor or port was available.
     pub fn connect_failed_locally(&mut self, now: Time) {
         self.connection = None;
         self.reconnect.failed_locally(now);
@@ -251,8 +258,8 @@
         self.connection.take()
     }
 
-    /// Returns the request to be sent now, or `None` while there is nothing to send, the connection is not
-    /// made or the last batch is not answered.
+    /// Returns the next batch as a request, or `None` while the queue is empty, the connection is not
+    /// established or a batch is outstanding.
     pub fn next_request(&mut self, now: Time, host: SocketAddr) -> Option<NotificationRequest> {
         let connection = self.connection?;
         if !self.reconnect.is_connected() || self.sent > 0 || self.queue.is_empty() {
@@ -272,9 +279,10 @@
         Some(NotificationRequest { connection, bytes: [head.as_bytes(), &body].concat() })
     }
 
-    /// Handles received bytes. Returns the messages whose notifications need not be sent again. A
-    /// notification that is rejected alone would be rejected for ever and block all others, so it counts as
-    /// acknowledged. After an error the connection has to be closed.
+    /// Handles received bytes. Returns the messages whose notifications are answered and not sent again; none
+    /// while the response is incomplete. A notification that is rejected in a batch of its own counts as
+    /// acknowledged: sent again, it would be rejected again and block the queue. After an error, the
+    /// connection has to be closed.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Acknowledged, NotificationError> {
         self.response.extend_from_slice(bytes);
         let head = match parse_response(&self.response) {
@@ -288,35 +296,35 @@
             return Ok(Acknowledged::nothing());
         }
         self.response.drain(..length);
-        let verdict = match head.status {
-            200 | 204 if self.sent > 0 => Verdict::Accepted,
-            400 if self.sent > 0 => Verdict::Rejected,
+        let result = match head.status {
+            200 | 204 if self.sent > 0 => BatchResult::Accepted,
+            400 if self.sent > 0 => BatchResult::Rejected,
             status => return Err(NotificationError::Status(status)),
         };
         self.reconnect.reset_backoff();
-        let messages = self.finish_batch(verdict);
-        // Discovery announced that it closes this connection, so the notifier does not: the next connect
-        // replaces its id, and the connection ends when discovery closes it.
+        let messages = self.finish_batch(result);
+        // After `Connection: close` the notifier forgets this connection without closing it: the next connect
+        // replaces its id, and discovery closes it.
         if head.persistence == Persistence::Close {
             self.reconnect.schedule_retry(0);
         }
-        Ok(Acknowledged { messages, verdict })
+        Ok(Acknowledged { messages, result })
     }
 
     /// Removes the answered batch from the queue and returns its messages. A rejected batch of several
-    /// notifications stays queued, to be sent one by one.
-    fn finish_batch(&mut self, verdict: Verdict) -> Vec<u32> {
+    /// notifications stays queued, and its notifications are sent one by one.
+    fn finish_batch(&mut self, result: BatchResult) -> Vec<u32> {
         let sent = std::mem::take(&mut self.sent);
-        let done = match verdict {
-            Verdict::Accepted => {
+        let done = match result {
+            BatchResult::Accepted => {
                 self.batch_limit = (2 * self.batch_limit).min(MAX_BATCH);
                 sent
             }
-            Verdict::Rejected if sent > 1 => {
+            BatchResult::Rejected if sent > 1 => {
                 self.batch_limit = 1;
                 0
             }
-            Verdict::Rejected => sent,
+            BatchResult::Rejected => sent,
         };
         self.queue.drain(..done).map(|notification| notification.message).collect()
     }
--- a/crates/platform/src/core/status_notifier/tests.rs
+++ b/crates/platform/src/core/status_notifier/tests.rs
@@ -24,7 +24,7 @@
     }
     notifier.release_all();
     if !numbers.is_empty() {
-        assert_eq!(notifier.poll(NOW), ConnectionDemand::Connect);
+        assert_eq!(notifier.poll(NOW), ConnectionAction::Connect);
     }
     notifier.connecting(CONNECTION);
     notifier.connected();
@@ -57,13 +57,13 @@
 fn notification_batch_rejected_sent_one_by_one() {
     let mut notifier = notifier_with(&[1, 2, 3]);
     assert_eq!(batch_size(&mut notifier), 3);
-    let nothing = Acknowledged { messages: vec![], verdict: Verdict::Rejected };
+    let nothing = Acknowledged { messages: vec![], result: BatchResult::Rejected };
     assert_eq!(notifier.receive(REJECTED), Ok(nothing));
     assert_eq!(batch_size(&mut notifier), 1);
-    let first = Acknowledged { messages: vec![1], verdict: Verdict::Rejected };
+    let first = Acknowledged { messages: vec![1], result: BatchResult::Rejected };
     assert_eq!(notifier.receive(REJECTED), Ok(first), "rejected alone, and not sent again");
     assert_eq!(batch_size(&mut notifier), 1);
-    let second = Acknowledged { messages: vec![2], verdict: Verdict::Accepted };
+    let second = Acknowledged { messages: vec![2], result: BatchResult::Accepted };
     assert_eq!(notifier.receive(ACCEPTED), Ok(second));
     assert_eq!(notifier.len(), 1);
 }
@@ -73,10 +73,10 @@
     let mut notifier = notifier_with(&[1]);
     assert_eq!(batch_size(&mut notifier), 1);
     assert_eq!(notifier.next_wake(), NOW + ANSWER_TIMEOUT);
-    assert_eq!(notifier.poll(NOW + ANSWER_TIMEOUT - 1), ConnectionDemand::Nothing);
-    assert_eq!(notifier.poll(NOW + ANSWER_TIMEOUT), ConnectionDemand::Close);
+    assert_eq!(notifier.poll(NOW + ANSWER_TIMEOUT - 1), ConnectionAction::Nothing);
+    assert_eq!(notifier.poll(NOW + ANSWER_TIMEOUT), ConnectionAction::Close);
     assert_eq!(notifier.take_connection(), Some(CONNECTION));
-    assert_eq!(notifier.poll(notifier.next_wake()), ConnectionDemand::Connect);
+    assert_eq!(notifier.poll(notifier.next_wake()), ConnectionAction::Connect);
     notifier.connecting(CONNECTION + 1);
     notifier.connected();
     assert_eq!(batch_size(&mut notifier), 1);
