--- a/crates/platform/src/core/iteration.rs
+++ b/crates/platform/src/core/iteration.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Runs one decision on the queued events, preceded by recovered messages that the library does not know
-    /// yet.
+    /// Runs one decision on the queued events and on recovered messages that were not passed to the library
+    /// yet, answers the requests that wait for it and executes the other actions.
     fn decide(&mut self) {
         let mut recovered = Vec::new();
         for number in self.recovery.take_undecided() {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Closes connections on which the client has shut down its sending side and awaits no answer.
+    /// Closes connections on which the client has shut down its sending side. Complete requests on them were
+    /// answered earlier in this iteration.
     fn close_half_closed(&mut self) {
         for id in self.clients.take_half_closed() {
             self.close_client(id, ClientCloseReason::HalfClosed);
--- a/crates/platform/src/core/request.rs
+++ b/crates/platform/src/core/request.rs
@@ -1,4 +1,4 @@
-//! From a client's request to the message that it submits, or to the error that answers it.
+//! Parsing and validation of a client's request: yields the submitted message or the error for the answer.
 
 use super::clock::MILLISECOND;
 use crate::records::Message;
@@ -7,28 +7,29 @@
 use linnetcart_http::{parse_decimal, Request};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The maximum length of an id or idempotency key.
-const MAX_NAME_BYTES: usize = 128;
+/// Maximum length of a message id or idempotency key, in bytes.
+const MAX_ID_BYTES: usize = 128;
 
 /// A message as submitted by a request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SubmittedMessage {
-    /// Its id.
+    /// Its id, from `X-Txn`.
     pub id: Vec<u8>,
-    /// Its idempotency key.
+    /// Its idempotency key, from `Idempotency-Key`.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Index of its class.
+    /// Index of its class, which is the first segment of the path.
     pub class: u8,
-    /// Its destination.
+    /// Its destination, from `X-Route-To`.
     pub destination: u32,
-    /// Its ordering key; 0 for none.
+    /// Its ordering key, the digest of the cookie `subject`; 0 for none.
     pub ordering_key: u64,
-    /// The remaining time for its delivery, in nanoseconds.
+    /// Time left for its delivery when the request arrived, in nanoseconds: the lesser of `X-Remaining-Ms`
+    /// and the class's deadline.
     pub time_remaining: Time,
 }
 
 impl SubmittedMessage {
-    /// Returns the message with its body. `wall_deadline` is in nanoseconds.
+    /// Returns the message with its body. `wall_deadline` is a wall-clock time in nanoseconds.
     pub fn into_message(self, wall_deadline: Time, body: Vec<u8>) -> Message {
         Message {
             id: self.id,
@@ -42,22 +43,23 @@
     }
 }
 
-/// Why a request is not a valid submission. The text is the body of the answer, so it must not change.
+/// Why a request is not a valid submission. The error text is the body of the answer, which clients may
+/// match: it must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The bytes are not an HTTP request that this server accepts.
+    /// The bytes are not a well-formed HTTP/1.1 request, or exceed a limit of the parser.
     #[error("{0}")]
     Malformed(linnetcart_http::RequestError),
-    /// Further bytes follow a request that is not answered yet.
+    /// Further bytes followed a request before its answer: pipelining is not supported.
     #[error("one request at a time")]
     Pipelined,
     /// The request did not arrive completely in time.
     #[error("the request did not come in time")]
     TimedOut,
-    /// A field that may be given once is repeated.
+    /// A header field that may occur once is repeated.
     #[error("a field stands there twice")]
     DuplicateField,
-    /// The path names no class.
+    /// The first segment of the path is not the name of a class.
     #[error("there is no such class")]
     UnknownClass,
     /// The method is not POST.
@@ -109,7 +111,7 @@
     }
 }
 
-/// Reads the message that a request submits.
+/// Validates a request and returns the message that it submits, without its body.
 pub fn parse_submission(
     request: &Request<'_>,
     settings: &DeploymentSettings,
@@ -119,7 +121,7 @@
         return Err(RequestError::MethodNotAllowed);
     }
     let class = &settings.settings.classes[class_index];
-    let id = single_field(request, "x-txn")?.and_then(valid_name).ok_or(RequestError::InvalidId)?;
+    let id = single_field(request, "x-txn")?.and_then(parse_id_or_key).ok_or(RequestError::InvalidId)?;
     let idempotency_key = read_idempotency_key(request, class)?;
     let destination = read_destination(request)?;
     let time_remaining = read_time_remaining(request)?.min(class.deadline);
@@ -137,7 +139,7 @@
 fn read_idempotency_key(request: &Request<'_>, class: &Class) -> Result<Option<Vec<u8>>, RequestError> {
     let is_required = matches!(class.idempotency, Idempotency::Keyed { .. });
     match single_field(request, "idempotency-key")? {
-        Some(key) => valid_name(key).map(Some).ok_or(RequestError::InvalidIdempotencyKey),
+        Some(key) => parse_id_or_key(key).map(Some).ok_or(RequestError::InvalidIdempotencyKey),
         None if is_required => Err(RequestError::MissingIdempotencyKey),
         None => Ok(None),
     }
@@ -160,12 +162,12 @@
     Ok(subject.map_or(0, ordering_key_of))
 }
 
-/// Returns `None` for a field that is absent, and an error for one that is repeated.
+/// Returns the value of a header field: `None` if it is absent, an error if it is repeated.
 fn single_field<'a>(request: &'a Request<'_>, name: &'static str) -> Result<Option<&'a [u8]>, RequestError> {
     request.field(name).map_err(|_| RequestError::DuplicateField)
 }
 
-/// Returns the index of the class that the first segment of the path names.
+/// Returns the index of the class whose name is the first segment of the path.
 fn class_of_path(path: &[u8], settings: &DeploymentSettings) -> Option<usize> {
     let path = path.strip_prefix(b"/").unwrap_or_default();
     let name = path.split(|&byte| byte == b'/').next().unwrap_or_default();
@@ -180,20 +182,22 @@
     u32::try_from(number).ok()
 }
 
-/// Returns an id or key if it can be copied into the head of an upstream request unchanged.
-fn valid_name(value: &[u8]) -> Option<Vec<u8>> {
-    let length_fits = !value.is_empty() && value.len() <= MAX_NAME_BYTES;
+/// Returns a message id or idempotency key if it has 1 to [`MAX_ID_BYTES`] visible ASCII characters, so that
+/// it can be copied into the head of an upstream request unchanged.
+fn parse_id_or_key(value: &[u8]) -> Option<Vec<u8>> {
+    let length_fits = !value.is_empty() && value.len() <= MAX_ID_BYTES;
     (length_fits && value.iter().all(u8::is_ascii_graphic)).then(|| value.to_vec())
 }
 
-/// Returns the value of the cookie that names the ordering key.
+/// Returns the value of the cookie `subject`, from which the ordering key is derived.
 fn subject_of_cookies(cookies: &[u8]) -> Option<&[u8]> {
     let mut pairs = cookies.split(|&byte| byte == b';').map(<[u8]>::trim_ascii);
     let subject = pairs.find_map(|pair| pair.strip_prefix(b"subject="))?;
     (!subject.is_empty()).then_some(subject)
 }
 
-/// Returns the digest by which an ordering key is known; never 0.
+/// Returns the ordering key of a subject: its 64-bit hash, with 0 mapped to 1 because 0 means no ordering
+/// key.
 fn ordering_key_of(subject: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     subject.hash(&mut hasher);
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -32,7 +32,7 @@
 pub(super) enum ClientCloseReason {
     /// The answer to its last request was written.
     Answered,
-    /// The client shut down its sending side, and no answer is outstanding.
+    /// The client shut down its sending side, and its last complete request is answered.
     HalfClosed,
     /// No request is in progress, and the idle timeout or the shutdown requires the close.
     Idle,
--- a/crates/platform/src/core/upstream_request.rs
+++ b/crates/platform/src/core/upstream_request.rs
@@ -1,12 +1,12 @@
-//! The request that carries an attempt to its endpoint.
+//! Encoding of the HTTP request that an attempt sends to its endpoint.
 
 use super::clock::MILLISECOND;
 use crate::records::Message;
 use linnetcart::Time;
 use std::net::SocketAddr;
 
-/// Encodes the request that sends a message to an endpoint. `time_remaining` is sent in milliseconds, rounded
-/// down.
+/// Encodes the request that delivers a message to an endpoint. `time_remaining` (nanoseconds) is sent in
+/// whole milliseconds, rounded down.
 pub fn encode(message: &Message, host: SocketAddr, time_remaining: Time) -> Vec<u8> {
     let mut bytes = format!("POST /receive HTTP/1.1\r\nHost: {host}\r\nX-Txn: ").into_bytes();
     bytes.extend(&message.id);
--- a/crates/platform/src/records.rs
+++ b/crates/platform/src/records.rs
@@ -1,21 +1,22 @@
-//! The meaning of the journal's records, and the state that they add up to when they are replayed.
+//! The records of the write-ahead journal: their types, their encoding, and the replay that restores the
+//! state from them.
 //!
 //! | record | written before |
 //! | --- | --- |
-//! | accepted | the client is answered |
-//! | attempt sent | the first byte of the attempt |
-//! | not executed | the message is sent again |
-//! | completed | the status notification; for a delivered message, any other effect of the delivery |
-//! | notified | the notification is forgotten |
-//! | names | all other records of a file: it defines the indexes of classes and zones |
-//! | completed id | nothing; a new file begins with the ids of the previous one |
-//! | key cooldown | the next message of the key is sent |
-//! | clock reference | all records with times: it relates their wall-clock times to the monotonic clock |
+//! | accepted | the client is answered 202 |
+//! | attempt sent | the first byte of the attempt's request is sent |
+//! | not executed | the message is attempted again |
+//! | completed | the status notification is sent; for a delivered message, any other effect of the delivery |
+//! | notified | the acknowledged notification is deleted |
+//! | names | all other records of a file, which refer to classes and zones by index |
+//! | completed id | nothing; it is part of the snapshot at the start of a new file |
+//! | key cooldown | the next message of the key is attempted |
+//! | clock reference | all records with times, whose wall-clock times it relates to the monotonic clock |
 //!
-//! An attempt that is recorded as sent and not recorded as not executed was possibly executed.
+//! An attempt with a record of its sending and none that it was not executed counts as possibly executed.
 //!
 //! This module owns the bytes of the records ([`Record::encode`], [`Record::decode`]) and their meaning
-//! ([`Replay`]). It never accesses a file: frames and files belong to `linnetcart-journal`.
+//! ([`Replay`]). It accesses no file: framing, checksums and files belong to `linnetcart-journal`.
 
 mod clock_reference;
 mod codec;
@@ -40,28 +41,28 @@
     },
     /// An attempt was sent.
     AttemptSent {
-        /// The message.
+        /// The message's number.
         message: u32,
         /// The attempt.
         attempt: SentAttempt,
     },
-    /// An attempt was certainly not executed.
+    /// An attempt ended with an outcome that excludes execution by the endpoint.
     NotExecuted {
-        /// The message.
+        /// The message's number.
         message: u32,
         /// The attempt's number.
         attempt: u16,
     },
     /// A message has its final outcome.
     Completed {
-        /// The message.
+        /// The message's number.
         message: u32,
         /// The outcome.
         outcome: FinalOutcome,
     },
     /// The platform acknowledged the notification of the outcome.
     Notified {
-        /// The message.
+        /// The message's number.
         message: u32,
     },
     /// Names of the classes and zones to which the following records refer by index.
@@ -73,32 +74,32 @@
     },
     /// How the wall-clock times of the following records relate to the monotonic clock.
     ClockReference(ClockReference),
-    /// The id of a completed message, which may be submitted again.
+    /// The id of a completed message, kept to recognise repeated submissions.
     CompletedId(CompletedId),
-    /// An attempt for an ordering key ended and may still be executing.
+    /// An attempt of a message with this ordering key ended, and its endpoint may still be executing it.
     KeyCooldown {
         /// The ordering key.
         ordering_key: u64,
-        /// No message of the key is sent before; wall-clock time in nanoseconds.
+        /// No new message of the key is attempted before this wall-clock time, in nanoseconds.
         until: Time,
     },
 }
 
-/// What is stored of a completed message: enough to recognise it when it is submitted again.
+/// The digests by which a completed message is recognised when it is submitted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedId {
     /// Digest of its id.
     pub id_digest: u64,
-    /// Digest of its content.
+    /// Digest of its destination, ordering key, class and body.
     pub content_digest: u64,
-    /// When the id may be forgotten; wall-clock time in nanoseconds.
+    /// When the entry may be deleted: the message's deadline; wall-clock time in nanoseconds.
     pub expires_at: Time,
 }
 
 /// A message as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its id.
+    /// Its id, chosen by the client.
     pub id: Vec<u8>,
     /// Its idempotency key.
     pub idempotency_key: Option<Vec<u8>>,
@@ -128,22 +129,22 @@
 /// The final outcome of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// Delivered.
+    /// An endpoint executed the message in time.
     Delivered,
-    /// Failed.
+    /// Failed; the platform is notified.
     Failed,
-    /// Returned to its sender undelivered.
+    /// Returned undelivered; the platform is notified, and the sender may submit the message again.
     Returned {
-        /// Delay before it should be submitted again, in milliseconds; 0 for no advice.
+        /// Advised delay before it is submitted again, in milliseconds; 0 for no advice.
         retry_after_ms: u32,
     },
 }
 
-/// The index of a class or zone that the present settings do not name.
+/// The index of a class or zone that the present settings do not contain.
 pub const UNKNOWN_INDEX: u8 = u8::MAX;
 
-/// Returns the digest of byte strings. Digests are stored, so the function must not change. It is not
-/// resistant to deliberate collisions.
+/// Returns a 64-bit digest of byte strings. Digests are stored in the journal, so the function must not
+/// change. Its key is fixed, so it does not resist deliberate collisions.
 pub fn digest(parts: &[&[u8]]) -> u64 {
     let mut hasher = DefaultHasher::new();
     parts.hash(&mut hasher);
@@ -151,7 +152,7 @@
 }
 
 impl Message {
-    /// Returns what is stored of the message once it is completed.
+    /// Returns the digests that are stored once the message is completed.
     pub fn completed_id(&self) -> CompletedId {
         let destination = self.destination.to_le_bytes();
         let ordering_key = self.ordering_key.to_le_bytes();
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Returns the id as text, for logs and notifications.
+    /// Returns the id as text for logs and notifications; invalid UTF-8 is replaced.
     pub fn id_text(&self) -> Cow<'_, str> {
         String::from_utf8_lossy(&self.id)
     }
--- a/crates/platform/src/records/codec.rs
+++ b/crates/platform/src/records/codec.rs
@@ -1,6 +1,7 @@
 //! Encoding and decoding of the journal's records.
 //!
-//! The bytes outlive the version that wrote them: kinds and field positions must never change.
+//! Journal files are read by later versions of the program: the numbers of kinds and the order and size of
+//! fields must never change. Integers are little-endian.
 
 use super::{ClockReference, CompletedId, FinalOutcome, Message, Record, SentAttempt};
 use linnetcart_journal::Record as RawRecord;
@@ -19,11 +20,11 @@
 const OUTCOME_FAILED: u8 = 1;
 const OUTCOME_RETURNED: u8 = 2;
 
-/// Stored in place of the key's length when a message has no idempotency key.
+/// Stored in place of the idempotency key's length for a message without one.
 const NO_IDEMPOTENCY_KEY: u16 = u16::MAX;
 
 impl Record {
-    /// Returns the record as the journal stores it.
+    /// Encodes the record as a kind and a payload.
     pub fn encode(&self) -> RawRecord {
         let mut payload = Vec::new();
         self.encode_payload(&mut payload);
@@ -74,7 +75,7 @@
             }
             Record::ClockReference(reference) => {
                 payload.extend(reference.boot_id.to_le_bytes());
-                payload.extend(reference.wall_ahead.to_le_bytes());
+                payload.extend(reference.wall_offset.to_le_bytes());
             }
         }
     }
@@ -100,7 +101,7 @@
             KIND_KEY_COOLDOWN => Record::KeyCooldown { ordering_key: fields.u64()?, until: fields.u64()? },
             KIND_CLOCK_REFERENCE => Record::ClockReference(ClockReference {
                 boot_id: fields.u64()?,
-                wall_ahead: fields.u64()?.cast_signed(),
+                wall_offset: fields.u64()?.cast_signed(),
             }),
             _ => return None,
         };
--- a/crates/platform/src/records/replay.rs
+++ b/crates/platform/src/records/replay.rs
@@ -1,5 +1,5 @@
-//! Replay: from a journal's records to the state that they add up to, and from a message's state back to its
-//! records.
+//! Replay: restores the state from a journal's records, and encodes a message's state as records for a new
+//! file.
 
 use super::clock_reference::shifted;
 use super::{ClockReference, CompletedId, FinalOutcome, Message, Record, SentAttempt, UNKNOWN_INDEX};
@@ -7,15 +7,15 @@
 use linnetcart_journal::Record as RawRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a message has come to its end.
+/// Whether a message has its final outcome, and whether the platform still has to acknowledge that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// The message has no final outcome.
     Uncompleted,
-    /// The message has a final outcome of which the platform is to be notified.
+    /// The message has a final outcome of which the platform has to be notified.
     AwaitingAcknowledgement(FinalOutcome),
-    /// The message has a final outcome that needs no notification, or no further one: it is delivered, or the
-    /// platform acknowledged the outcome.
+    /// The message has a final outcome that needs no further notification: it was delivered, or the platform
+    /// acknowledged the outcome.
     Concluded(FinalOutcome),
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records that the platform acknowledged the outcome. Has no effect in the other states.
+    /// Records that the platform acknowledged the outcome. Has no effect in other states.
     pub fn acknowledge(&mut self) {
         if let Completion::AwaitingAcknowledgement(outcome) = *self {
             *self = Completion::Concluded(outcome);
@@ -52,11 +52,12 @@
 pub struct PendingMessage {
     /// The message.
     pub message: Message,
-    /// Number of attempts so far.
+    /// Number of attempts begun so far, which is the number of the next one.
     pub attempts: u16,
-    /// The attempts that were possibly executed.
+    /// The sent attempts that an endpoint may have executed: not ended, or ended with an outcome that does
+    /// not exclude execution.
     pub possibly_executed: Vec<SentAttempt>,
-    /// Whether the message has its final outcome and the platform has to be notified of it.
+    /// The final outcome, if any, and the state of its notification.
     pub completion: Completion,
 }
 
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Returns the records that add up to this state: none for a concluded message, which is no longer
-    /// pending.
+    /// Returns the records from which a replay restores this state: none for a concluded message, which is no
+    /// longer pending.
     pub fn records(&self, number: u32) -> Vec<Record> {
         if matches!(self.completion, Completion::Concluded(_)) {
             return vec![];
@@ -81,8 +82,8 @@
         for &attempt in &self.possibly_executed {
             records.push(Record::AttemptSent { message: number, attempt });
         }
-        // Attempts that were not executed count, too. A record of the last attempt restores the number of
-        // all.
+        // `attempts` includes attempts that were not executed. A record with the number of the last attempt
+        // restores the count.
         if let Some(last) = self.attempts.checked_sub(1) {
             if self.possibly_executed.iter().all(|attempt| attempt.number != last) {
                 records.push(Record::NotExecuted { message: number, attempt: last });
@@ -94,26 +95,28 @@
         records
     }
 
-    /// Counts an attempt. Its number may be lower than the present count: a snapshot counts attempts that
-    /// still wait for a connection, and their records follow it.
+    /// Raises the number of attempts to include this one, and removes an earlier record of its sending. The
+    /// attempt may be counted already: a snapshot counts attempts that still wait for a connection, and the
+    /// records of these attempts follow it.
     fn count_attempt(&mut self, attempt: u16) {
         self.attempts = self.attempts.max(attempt.saturating_add(1));
         self.possibly_executed.retain(|sent| sent.number != attempt);
     }
 }
 
-/// The state that a journal's records add up to.
+/// The state restored from a journal's records.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replay {
     /// Pending messages by number, in the order of their acceptance.
     pub pending: BTreeMap<u32, PendingMessage>,
-    /// The next message number: greater than every number in the records.
+    /// The first number for new messages: greater than every number in the records.
     pub next_message: u32,
     /// Number of records that could not be decoded or refer to an unknown message.
     pub unusable_records: usize,
-    /// Ids of completed messages, as far as the journal has them.
+    /// Ids of completed messages that the journal contains.
     pub completed: Vec<CompletedId>,
-    /// By how many nanoseconds the recorded times were moved: the steps of the wall clock between the processes.
+    /// The shift that was added to recorded times, in nanoseconds: by how much the wall clock was stepped
+    /// between the processes. That of the last clock reference if the journal has several.
     pub clock_shift: i64,
     /// The ends of the ordering keys' cooldowns; wall-clock times in nanoseconds.
     pub key_cooldowns: BTreeMap<u64, Time>,
@@ -121,8 +124,8 @@
 
 impl Replay {
     /// Replays records. Classes and zones are matched by name, so their indexes may differ between the
-    /// records and the present settings. Times become times of `clock`, the reference of this process. A
-    /// repeated record counts once.
+    /// records and the present settings. Times are converted to `clock`, the reference of this process. A
+    /// repeated record of a message or an attempt counts once.
     pub fn from_records(
         records: &[RawRecord],
         classes: &[String],
@@ -148,12 +151,13 @@
     }
 }
 
-/// Maps the indexes in the journal to those in the present settings.
+/// Maps indexes of classes and zones in the journal (positions) to those in the present settings (values).
 struct IndexMap {
     classes: Vec<u8>,
     zones: Vec<u8>,
 }
 
+/// Returns the index of each name in the settings; [`UNKNOWN_INDEX`] for names that they do not contain.
 fn indexes_of(names: &[String], settings: &[String]) -> Vec<u8> {
     let index_of = |name: &String| {
         let index = settings.iter().position(|other| other == name);
@@ -168,16 +172,16 @@
 
 struct Replayer<'a> {
     replay: Replay,
-    /// Messages that were removed and are no longer pending.
+    /// Numbers of messages that were pending and are concluded.
     concluded: BTreeSet<u32>,
-    /// `None` until a record of names was read. Files without names date from when the order in the settings
-    /// never changed, so that their indexes are still valid.
+    /// `None` until a names record is read. Files without one were written while the order of classes and
+    /// zones in the settings was fixed, so their indexes are still valid.
     indexes: Option<IndexMap>,
     classes: &'a [String],
     zones: &'a [String],
     clock: ClockReference,
-    /// By how much recorded times are moved. Files without a reference date from versions that trusted the
-    /// wall clock.
+    /// Added to the times of the following records, in nanoseconds; 0 until a clock reference is read. Files
+    /// of versions without clock references contain plain wall-clock times.
     shift: i64,
 }
 
@@ -243,8 +247,8 @@
         }
     }
 
-    /// Removes a message whose outcome needs no further notification. Its id is remembered unless it was
-    /// returned, as a returned message may be submitted again as a new one.
+    /// Removes a message whose outcome needs no further notification. Its id is kept for deduplication,
+    /// unless the message was returned: it may be submitted again as a new message.
     fn remove_concluded(&mut self, message: u32) {
         if self.pending_mut(message).is_none() {
             return;
@@ -268,7 +272,7 @@
         pending
     }
 
-    /// Keeps message numbers of this process above those in the records.
+    /// Keeps the numbers of new messages above this one.
     fn reserve_number(&mut self, number: u32) {
         self.replay.next_message = self.replay.next_message.max(number.saturating_add(1));
     }
--- a/crates/platform/src/records/tests.rs
+++ b/crates/platform/src/records/tests.rs
@@ -1,4 +1,5 @@
-//! The bytes of the journal's records, which outlast the version that wrote them.
+//! The encoding of the journal's records, which later versions have to read, and the conversion of recorded
+//! times.
 
 use super::*;
 use linnetcart_journal::Record as RawRecord;
@@ -7,7 +8,7 @@
     RawRecord { kind, payload: payload.to_vec() }
 }
 
-/// Encodes a record to exactly these bytes, and reads the same bytes back.
+/// Asserts that a record is encoded to exactly these bytes, and decoded from them.
 fn assert_stored(record: Record, kind: u8, payload: &[u8]) {
     assert_eq!(record.encode(), raw(kind, payload), "{record:?}");
     assert_eq!(Record::decode(&raw(kind, payload)), Some(record));
@@ -79,7 +80,7 @@
     assert_eq!(Record::decode(&raw(2, &[1, 0, 0, 0, 3, 0, 4, 5])), None, "too short");
 }
 
-/// Message ids and contents of completed messages are compared by digest with those of an earlier process.
+/// A process compares the digests of submitted messages with those that earlier processes stored.
 #[test]
 fn completed_message_digest_unchanged() {
     let completed = message(None).completed_id();
@@ -91,7 +92,7 @@
 
 #[test]
 fn clock_reference_record_bytes_unchanged() {
-    let reference = ClockReference { boot_id: 1, wall_ahead: -2 };
+    let reference = ClockReference { boot_id: 1, wall_offset: -2 };
     let bytes = [1, 0, 0, 0, 0, 0, 0, 0, 0xfe, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff];
     assert_stored(Record::ClockReference(reference), 9, &bytes);
 }
@@ -125,7 +126,7 @@
 
 #[test]
 fn recorded_times_move_with_steps_of_the_wall_clock_while_the_machine_runs() {
-    let clock = |boot_id, wall_ahead| ClockReference { boot_id, wall_ahead };
+    let clock = |boot_id, wall_offset| ClockReference { boot_id, wall_offset };
     let forward = replay_under(Some(clock(1, 100)), clock(1, 600));
     assert_eq!(replayed_times(&forward), [5_500, 1_500, 3_500, 2_500]);
     let back = replay_under(Some(clock(1, 100)), clock(1, -400));
--- a/crates/platform/src/shell/clocks.rs
+++ b/crates/platform/src/shell/clocks.rs
@@ -47,8 +47,8 @@
                 closest = reading;
             }
         }
-        let wall_ahead = (wall as i64).saturating_sub(closest.monotonic);
-        let reference = ClockReference { boot_id: boot_id(), wall_ahead };
+        let wall_offset = (wall as i64).saturating_sub(closest.monotonic);
+        let reference = ClockReference { boot_id: boot_id(), wall_offset };
         StartClocks { started_at: closest.instant, wall, reference }
     }
 }
