--- a/crates/platform/src/core/iteration.rs
+++ b/crates/platform/src/core/iteration.rs
@@ -60,7 +60,7 @@
     /// yet, answers the requests that wait for it and executes the other actions.
     fn decide(&mut self) {
         let mut recovered = Vec::new();
-        for number in self.recovery.take_undecided() {
+        for number in self.recovery.take_awaiting_decision() {
             if let Some(message) = self.in_flight.get(number) {
                 recovered.push(recovery::recovered_event(number, message, self.clock));
             }
--- a/crates/platform/src/core/reconnect/tests.rs
+++ b/crates/platform/src/core/reconnect/tests.rs
@@ -1,4 +1,4 @@
-//! Backoff and timeouts.
+//! Backoff and timeouts of connects.
 
 use super::*;
 
--- a/crates/platform/src/core/recovery.rs
+++ b/crates/platform/src/core/recovery.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct Recovery {
     /// Uncompleted messages that were not passed to the decision library yet.
-    undecided: Vec<u32>,
+    awaiting_decision: Vec<u32>,
     /// Messages that no endpoint has executed and that this process has neither attempted nor completed.
     untried: BTreeSet<u32>,
     /// Messages whose first attempt by this process was sent in the present iteration and can still be
@@ -34,7 +34,7 @@
         if pending.completion != Completion::Uncompleted {
             return;
         }
-        self.undecided.push(number);
+        self.awaiting_decision.push(number);
         if pending.possibly_executed.is_empty() {
             self.counts.untried += 1;
             self.untried.insert(number);
@@ -47,8 +47,8 @@
     }
 
     /// Takes the uncompleted messages that were not passed to the decision library yet.
-    pub fn take_undecided(&mut self) -> Vec<u32> {
-        std::mem::take(&mut self.undecided)
+    pub fn take_awaiting_decision(&mut self) -> Vec<u32> {
+        std::mem::take(&mut self.awaiting_decision)
     }
 
     /// Records that a message was attempted. Returns the counts if it was the last untried message.
--- a/crates/platform/src/core/recovery/tests.rs
+++ b/crates/platform/src/core/recovery/tests.rs
@@ -17,7 +17,7 @@
     recovery.add(2, &pending(vec![], Completion::Uncompleted));
     recovery.add(3, &pending(vec![sent], Completion::Uncompleted));
     recovery.add(4, &pending(vec![], Completion::from(FinalOutcome::Failed)));
-    assert_eq!(recovery.take_undecided(), [1, 2, 3], "a message with an outcome needs no decision");
+    assert_eq!(recovery.take_awaiting_decision(), [1, 2, 3], "a message with an outcome needs no decision");
     assert_eq!((recovery.attempted(3), recovery.given_up(4)), (None, None), "neither message was untried");
     assert_eq!((recovery.attempted(1), recovery.attempted(1)), (None, None));
     let counts = RecoveryCounts { recovered: 4, untried: 2, attempted: 1, given_up: 1 };
--- a/crates/platform/src/core/request/tests.rs
+++ b/crates/platform/src/core/request/tests.rs
@@ -1,4 +1,4 @@
-//! Requests and the messages that they submit.
+//! Parsing of submissions, and the status codes for invalid ones.
 
 use super::*;
 
--- a/crates/platform/src/core/shutdown/tests.rs
+++ b/crates/platform/src/core/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! The phases and their times.
+//! Phases of the shutdown and the times at which they begin.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn shutdown_phases_follow_each_other_at_their_moments() {
+fn shutdown_phases_advance_at_their_times() {
     let mut shutdown = signalled();
     shutdown.advance(SIGNAL + SIGNAL_GRACE_PERIOD - 1);
     assert_eq!(shutdown.phase(), Phase::Signalled);
--- a/crates/platform/src/core/status_notifier/tests.rs
+++ b/crates/platform/src/core/status_notifier/tests.rs
@@ -1,4 +1,4 @@
-//! Batches, acknowledgements and the ordering keys that wait for them.
+//! Encoding, batches and acknowledgement of notifications, and the ordering keys that they block.
 
 use super::*;
 use crate::core::tests::fixtures;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn notification_of_unrecorded_outcome_waits_for_record_or_end_of_message() {
+fn notification_of_unrecorded_outcome_waits_for_record_or_deadline() {
     let mut notifier = notifier_with(&[]);
     notifier.push(1, &message("m1", 0), FinalOutcome::Failed, NOW + 10);
     notifier.push(2, &message("m2", 0), FinalOutcome::Failed, NOW + 20);
--- a/crates/platform/src/records/tests.rs
+++ b/crates/platform/src/records/tests.rs
@@ -125,14 +125,14 @@
 }
 
 #[test]
-fn recorded_times_move_with_steps_of_the_wall_clock_while_the_machine_runs() {
+fn recorded_times_shifted_by_wall_clock_steps_within_one_boot() {
     let clock = |boot_id, wall_offset| ClockReference { boot_id, wall_offset };
     let forward = replay_under(Some(clock(1, 100)), clock(1, 600));
     assert_eq!(replayed_times(&forward), [5_500, 1_500, 3_500, 2_500]);
     let back = replay_under(Some(clock(1, 100)), clock(1, -400));
     assert_eq!(replayed_times(&back), [4_500, 500, 2_500, 1_500]);
     let restarted = replay_under(Some(clock(1, 100)), clock(2, 600));
-    assert_eq!(replayed_times(&restarted), [5_000, 1_000, 3_000, 2_000], "the machine was started again");
+    assert_eq!(replayed_times(&restarted), [5_000, 1_000, 3_000, 2_000], "the machine was rebooted");
     let earlier_version = replay_under(None, clock(1, 600));
     assert_eq!(replayed_times(&earlier_version), [5_000, 1_000, 3_000, 2_000]);
 }
