--- a/crates/platform/src/core/effects.rs
+++ b/crates/platform/src/core/effects.rs
@@ -193,8 +193,8 @@
         self.events.push(event);
     }
 
-    /// Moves closes and write shutdowns before all other outputs, so that file descriptors and the endpoints'
-    /// slots are free before new connects. Drops connects whose connection was closed in the same iteration.
+    /// Moves closes and write shutdowns before all other outputs, so that the endpoints have free slots for
+    /// the new connections and requests. Drops connects whose connection was closed in the same iteration.
     pub fn put_closes_first(&mut self, closed: &[ConnectionId], abandoned: &[ConnectionId]) {
         if closed.is_empty() && abandoned.is_empty() {
             return;
--- a/crates/platform/src/core/unrecorded.rs
+++ b/crates/platform/src/core/unrecorded.rs
@@ -70,9 +70,9 @@
     }
 
     /// Checks the attempts of this iteration again right before they are sent: undoes those whose deadline
-    /// has passed, and all if `now` is more than [`MAX_INPUT_AGE`] after `input_read_at`, the time at which
-    /// the input of their decision was read. If the process was stalled for so long, unread input may contain
-    /// an answer, a Retry-After or an endpoint's drain, and the next decision takes it into account.
+    /// has passed, and all if `now` is more than 30 ms after `input_read_at`, the time at which the input of
+    /// their decision was read. If the process was stalled for so long, unread input may contain an answer, a
+    /// Retry-After or an endpoint's drain, and the next decision takes it into account.
     pub fn recheck_attempts(&mut self, input_read_at: Time, now: Time) {
         let is_outdated = now > input_read_at + MAX_INPUT_AGE;
         for id in self.effects.attempts() {
