--- a/crates/journal/src/directory.rs
+++ b/crates/journal/src/directory.rs
@@ -1,32 +1,32 @@
-//! The directory of a journal and its files.
+//! The files of a journal in their directory: reading, appending, replacement and removal.
 
 use crate::frame::{encode_batch, BatchMode};
-use crate::{read_frames, FileDamage, JournalError, Record, RecordRef, Salt, COMPLETE_KIND, MAX_BATCH_BYTES};
+use crate::{read_frames, FileDamage, JournalError, Record, RecordRef, Salt, CONTROL_KIND, MAX_BATCH_BYTES};
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The start of each file's name; the file's number follows.
+/// Start of each file's name, which the file's number follows, in ten digits.
 const FILE_NAME_PREFIX: &str = "journal-";
 
-/// The unit in which the space that a file takes is counted.
+/// File sizes count against the capacity in blocks of this size, the unit of `st_blocks`.
 const BLOCK_BYTES: u64 = 512;
 
-/// A directory with a journal. Records are appended to one file until that is replaced by the next.
+/// A directory with the files of a journal. Records are appended to one file until the next one replaces it.
 #[derive(Debug)]
 pub struct JournalDirectory {
     path: PathBuf,
     capacity_bytes: u64,
-    /// Number of the newest file, or of one that could not be begun: no number is used twice.
+    /// Highest number used for a file, also for one whose creation failed: no number is used twice.
     number: u64,
-    /// The file that is appended to; `None` until this process has begun one.
+    /// The file that records are appended to; `None` until this process has created one.
     file: Option<CurrentFile>,
-    /// Files of other numbers, with their sizes, that may still be there.
+    /// Sizes in bytes of the other files that may still exist, by number.
     other_files: BTreeMap<u64, u64>,
 }
 
-/// The file that is appended to.
+/// The file that records are appended to.
 #[derive(Debug)]
 struct CurrentFile {
     file: File,
@@ -34,7 +34,7 @@
     salt: Salt,
     /// Number of valid bytes.
     size_bytes: u64,
-    /// A failed write may have left invalid bytes behind the valid ones.
+    /// A failed write may have left invalid bytes after the valid ones.
     has_torn_end: bool,
 }
 
@@ -43,13 +43,13 @@
 pub struct OpenedJournal {
     /// The directory, for writing.
     pub directory: JournalDirectory,
-    /// The records that could be read, in the order of their appending.
+    /// The records that could be read, in the order in which they were appended.
     pub records: Vec<Record>,
-    /// Damage in the files that were read, newest file first.
+    /// The damage in the files that were read, newest file first.
     pub damage: Vec<FileDamage>,
 }
 
-/// What was read of the files of a directory.
+/// The records and the damage of the files of a directory.
 #[derive(Debug, Default)]
 struct ReadFiles {
     records: Vec<Record>,
@@ -60,7 +60,7 @@
     /// Opens the directory and reads the records of a previous process. Nothing may be appended before the
     /// first [`JournalDirectory::replace`]. The files take at most `capacity_bytes` together.
     ///
-    /// A file that cannot be read is an error and never counts as empty.
+    /// A needed file that cannot be read is an error and never counts as empty.
     pub fn open(path: &Path, capacity_bytes: u64) -> Result<OpenedJournal, JournalError> {
         let numbers = file_numbers(path)?;
         let ReadFiles { records, damage } = read_files(path, &numbers)?;
@@ -74,17 +74,17 @@
         Ok(OpenedJournal { directory, records, damage })
     }
 
-    /// Returns the size of the present file in bytes.
+    /// Returns the size of the current file in bytes.
     pub fn size(&self) -> u64 {
         self.file.as_ref().map_or(0, |current| current.size_bytes)
     }
 
-    /// Whether files may be left that are of no use any more.
+    /// Whether files that the current one has replaced may still exist.
     pub fn has_old_files(&self) -> bool {
         self.file.is_some() && !self.other_files.is_empty()
     }
 
-    /// Appends records, all of them or none. After an error, none of them is in the file.
+    /// Appends records atomically: after an error, a reader finds none of them.
     pub fn append<'a>(
         &mut self,
         records: impl IntoIterator<Item = RecordRef<'a>>,
@@ -93,19 +93,19 @@
         let records: Vec<RecordRef<'a>> = records.into_iter().collect();
         let bytes = match records[..] {
             [] => return Ok(()),
-            [record] => frame(current.salt, record.kind, record.payload)?,
-            _ => frame(current.salt, COMPLETE_KIND, &encode_batch(BatchMode::Append, records))?,
+            [record] => encode_frame(current.salt, record.kind, record.payload)?,
+            _ => encode_frame(current.salt, CONTROL_KIND, &encode_batch(BatchMode::Append, records))?,
         };
         self.append_bytes(&bytes)
     }
 
-    /// Appends a snapshot to the present file: these records replace all before them.
+    /// Appends a snapshot to the current file: these records replace all before them.
     pub fn append_snapshot<'a>(
         &mut self,
         records: impl IntoIterator<Item = RecordRef<'a>>,
     ) -> Result<(), JournalError> {
         let Some(current) = &self.file else { return Err(JournalError::NoFile) };
-        let bytes = frame(current.salt, COMPLETE_KIND, &encode_batch(BatchMode::Replace, records))?;
+        let bytes = encode_frame(current.salt, CONTROL_KIND, &encode_batch(BatchMode::Replace, records))?;
         self.append_bytes(&bytes)
     }
 
@@ -127,10 +127,11 @@
         Ok(())
     }
 
-    /// Begins a new file with these records and removes the previous files.
+    /// Creates a new file with these records and removes the previous files.
     ///
-    /// After an error, the previous file stays in use. Files that cannot be removed are of no effect;
-    /// [`JournalDirectory::remove_old_files`] tries to remove them again.
+    /// After an error, the previous file stays in use. Previous files that cannot be removed only take
+    /// capacity, since a reader stops at the newest complete file; [`JournalDirectory::remove_old_files`]
+    /// retries the removal.
     pub fn replace<'a>(
         &mut self,
         salt: Salt,
@@ -140,7 +141,7 @@
         for record in records {
             salt.append_frame(record.kind, record.payload, &mut bytes);
         }
-        salt.append_frame(COMPLETE_KIND, &[], &mut bytes);
+        salt.append_frame(CONTROL_KIND, &[], &mut bytes);
         let length = bytes.len() as u64;
         if length > self.available_bytes() {
             self.remove_old_files();
@@ -151,7 +152,7 @@
         }
         self.number += 1;
         let number = self.number;
-        // A file that could not be begun may be there all the same, in part.
+        // If the creation fails, a partial file may remain.
         self.other_files.insert(number, length);
         let file = create_file(&file_path(&self.path, number), &bytes).inspect_err(|_| {
             self.remove_file(number);
@@ -165,7 +166,8 @@
         Ok(())
     }
 
-    /// Tries to remove the files that are of no use any more. Before this process has begun a file, all are.
+    /// Tries to remove all files but the current one. Does nothing until this process has created a file:
+    /// until then, those of the previous process hold the records.
     pub fn remove_old_files(&mut self) {
         if self.file.is_none() {
             return;
@@ -186,18 +188,19 @@
         self.other_files.remove(&number);
     }
 
-    /// Returns how many bytes may still be written.
+    /// Returns the number of bytes that may still be written: with block size B,
+    /// capacity - Σ over files (⌈bytes / B⌉ + 1) · B - B.
     fn available_bytes(&self) -> u64 {
         let current = self.file.as_ref().map(|current| current.size_bytes);
         let sizes = self.other_files.values().copied().chain(current);
-        // Each file takes whole blocks, and one more is begun by whatever is written.
+        // Each file takes whole blocks, and a write may begin one more, in an existing file or a new one.
         let taken: u64 = sizes.map(|bytes| (bytes.div_ceil(BLOCK_BYTES) + 1) * BLOCK_BYTES).sum();
         self.capacity_bytes.saturating_sub(taken + BLOCK_BYTES)
     }
 }
 
 impl CurrentFile {
-    /// Removes what a failed write has left, so that the space is not lost.
+    /// Truncates the invalid bytes that a failed write has left, so that they take no space.
     fn remove_torn_end(&mut self) -> io::Result<()> {
         if self.has_torn_end {
             self.file.set_len(self.size_bytes)?;
@@ -207,7 +210,8 @@
     }
 }
 
-/// Reads the newest complete file. Without one, all files together hold what there is.
+/// Reads the files from the newest back to the first complete one, and returns the records of that file.
+/// Without a complete file, returns the records of all files in the order in which they were appended.
 fn read_files(directory: &Path, numbers: &[u64]) -> io::Result<ReadFiles> {
     let mut files = ReadFiles::default();
     for &number in numbers.iter().rev() {
@@ -228,8 +232,8 @@
     Ok(files)
 }
 
-/// Returns a frame, unless it would be longer than what may be written at once.
-fn frame(salt: Salt, kind: u8, payload: &[u8]) -> Result<Vec<u8>, JournalError> {
+/// Encodes a frame. It is an error if the payload exceeds [`MAX_BATCH_BYTES`].
+fn encode_frame(salt: Salt, kind: u8, payload: &[u8]) -> Result<Vec<u8>, JournalError> {
     if payload.len() > MAX_BATCH_BYTES {
         let available = MAX_BATCH_BYTES as u64;
         return Err(JournalError::NoCapacity { bytes: payload.len() as u64, available });
@@ -239,7 +243,7 @@
     Ok(bytes)
 }
 
-/// Creates a file with these bytes for appending. It is an error if the file exists.
+/// Creates a file with these bytes and opens it for appending. It is an error if the file exists.
 fn create_file(path: &Path, bytes: &[u8]) -> io::Result<File> {
     let mut file = OpenOptions::new().append(true).create_new(true).open(path)?;
     file.write_all(bytes)?;
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -8,14 +8,14 @@
 pub enum JournalError {
     /// Records were appended before the first
     /// [`JournalDirectory::replace`](crate::JournalDirectory::replace).
-    #[error("the journal has no file yet")]
+    #[error("records were appended before this process created its journal file")]
     NoFile,
-    /// The records do not fit into what may be written at once, or into the capacity of the directory.
-    #[error("{bytes} bytes of records do not fit into the {available} that are left")]
+    /// The records exceed the maximum of one write, or the remaining capacity of the directory.
+    #[error("{bytes} bytes of records exceed the {available} bytes that may be written")]
     NoCapacity {
-        /// Number of bytes.
+        /// Number of bytes to write.
         bytes: u64,
-        /// How many bytes may be written.
+        /// Number of bytes that may be written.
         available: u64,
     },
     /// The operating system reports an error.
@@ -24,8 +24,8 @@
 }
 
 impl JournalError {
-    /// Whether the error may be over soon: anything but a directory that is not there or not accessible.
-    pub fn is_momentary(&self) -> bool {
+    /// Whether a retry may succeed: always, unless the directory is missing, inaccessible or read-only.
+    pub fn is_transient(&self) -> bool {
         match self {
             JournalError::NoFile | JournalError::NoCapacity { .. } => true,
             JournalError::Io(error) => !matches!(
@@ -39,11 +39,11 @@
     }
 }
 
-/// Bytes of a journal's file that are not a valid record.
+/// Bytes of a journal file that are not part of a valid frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FileDamage {
-    /// The file ends with invalid bytes: an interrupted write, or damage.
-    #[error("{}: {bytes} bytes at the end are no record", path.display())]
+    /// The file ends with invalid bytes: a torn write, or damage.
+    #[error("{}: the last {bytes} bytes are not a valid record", path.display())]
     TornEnd {
         /// The file.
         path: PathBuf,
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -1,22 +1,24 @@
-//! Reading of the records in the bytes of a file, damaged or not.
+//! Decoding of the records in the bytes of a file, which may be damaged.
 
 use crate::frame::{decode_control, read_header, BatchMode, ControlFrame, DecodedFrame, FIRST_FRAME_OFFSET};
-use crate::{Record, COMPLETE_KIND};
+use crate::{Record, CONTROL_KIND};
 
-/// The content of a file.
+/// The records of a file, and the extent of its damage.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadFrames {
-    /// All valid records in their order, from the last snapshot on.
+    /// All valid records in the order in which they were appended, starting with the last snapshot.
     pub records: Vec<Record>,
-    /// Whether the file includes all records of the previous file that are still needed.
+    /// Whether the file contains a completion mark or a snapshot, and so all records of the previous files
+    /// that are still needed.
     pub complete: bool,
     /// Number of invalid bytes that are followed by a valid frame.
     pub damaged_bytes: usize,
-    /// Number of invalid bytes at the end: an interrupted write, or damage.
+    /// Number of invalid bytes at the end: a torn write, or damage.
     pub torn_bytes: usize,
 }
 
-/// Reads the bytes of a file. Damage affects only the records that it touches.
+/// Decodes the bytes of a file. Damage costs only the records whose bytes it affects: after invalid bytes,
+/// decoding continues at the next byte with a valid frame.
 pub fn read_frames(bytes: &[u8]) -> ReadFrames {
     let mut found = ReadFrames::default();
     let Some(salt) = read_header(bytes) else {
@@ -27,22 +29,22 @@
     let mut skipped = 0;
     while !rest.is_empty() {
         let Some(frame) = salt.decode_frame(rest) else {
-            // The length of the damage is unknown: the next frame may begin at any byte.
+            // The length of the damage is unknown, so each following byte may be the start of a frame.
             skipped += 1;
             rest = &rest[1..];
             continue;
         };
         found.damaged_bytes += skipped;
         skipped = 0;
-        add_frame(&frame, &mut found);
+        apply_frame(&frame, &mut found);
         rest = &rest[frame.length..];
     }
     found.torn_bytes = skipped;
     found
 }
 
-fn add_frame(frame: &DecodedFrame<'_>, found: &mut ReadFrames) {
-    if frame.kind != COMPLETE_KIND {
+fn apply_frame(frame: &DecodedFrame<'_>, found: &mut ReadFrames) {
+    if frame.kind != CONTROL_KIND {
         found.records.push(Record { kind: frame.kind, payload: frame.payload.to_vec() });
         return;
     }
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -1,19 +1,19 @@
-//! Frames, which contain the records, and the header of a file.
+//! The binary format of a file: its header, and frames that contain the records.
 //!
 //! A frame consists of mark (1 byte), length of the payload (4 bytes), checksum (4 bytes), kind (1 byte) and
-//! payload. A header consists of magic (8 bytes), salt (8 bytes) and checksum (4 bytes). Numbers are
-//! little-endian; checksums are CRC-32C.
+//! payload; the checksum covers salt, length, kind and payload. A header consists of magic (8 bytes), salt
+//! (8 bytes) and checksum (4 bytes). Numbers are little-endian; checksums are CRC-32C.
 
 /// Number of bytes of a frame in addition to its payload.
 pub const FRAME_OVERHEAD_BYTES: usize = 10;
 /// Maximum number of bytes of a payload.
 pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
-/// Maximum number of bytes of the records that are appended together.
+/// Maximum number of bytes of the payload of a batch: records that are appended together, encoded.
 pub const MAX_BATCH_BYTES: usize = 1 << 24;
-/// Kind of the frames that are no records. Without payload, such a frame marks a file as complete; otherwise it
-/// contains several records. Records must have another kind.
-pub const COMPLETE_KIND: u8 = 0;
-/// First byte of the payload of a frame whose records are valid together or not at all.
+/// Kind of control frames. A control frame without payload marks a file as complete; one with a payload
+/// contains a batch of records. Records must have another kind.
+pub const CONTROL_KIND: u8 = 0;
+/// First byte of the payload of a batch that follows the records before it.
 const BATCH_TAG: u8 = 1;
 /// First byte of the payload of a batch that replaces all records before it and marks the file as complete.
 const SNAPSHOT_TAG: u8 = 2;
@@ -28,12 +28,12 @@
 const HEADER_BYTES: usize = 20;
 /// Number of bytes of a header that its checksum covers.
 const CHECKED_HEADER_BYTES: usize = 16;
-/// Number of copies of the header, so that damage to one of them does not cost the file.
+/// Number of copies of the header, so that damage to one of them does not make the file unreadable.
 const HEADER_COPIES: usize = 2;
 /// Position of the first frame in a file, in bytes.
 pub(crate) const FIRST_FRAME_OFFSET: usize = HEADER_COPIES * HEADER_BYTES;
 
-/// A record.
+/// A record that was read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The kind, at least 1. Its meaning is the application's.
@@ -51,7 +51,7 @@
     pub payload: &'a [u8],
 }
 
-/// Distinguishes the frames of a file from all other bytes: it seeds the checksum of each of them.
+/// The number that seeds the checksum of every frame of a file, so that other bytes are not valid in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Salt(pub u64);
 
@@ -75,10 +75,10 @@
     /// Appends a frame to `out`.
     ///
     /// # Panics
-    /// If the payload is longer than [`MAX_PAYLOAD_BYTES`], or [`MAX_BATCH_BYTES`] for a batch: callers have to
-    /// bound what they accept.
+    /// If the payload is longer than [`MAX_PAYLOAD_BYTES`], or [`MAX_BATCH_BYTES`] for a batch: callers have
+    /// to bound what they accept.
     pub fn append_frame(self, kind: u8, payload: &[u8], out: &mut Vec<u8>) {
-        assert!(payload.len() <= max_payload_bytes(kind), "a record of {} bytes", payload.len());
+        assert!(payload.len() <= max_payload_bytes(kind), "a payload of {} bytes is too long", payload.len());
         let length = (payload.len() as u32).to_le_bytes();
         let checksum = self.frame_checksum(length, kind, payload);
         out.push(FRAME_MARK);
@@ -115,12 +115,12 @@
 
 fn max_payload_bytes(kind: u8) -> usize {
     match kind {
-        COMPLETE_KIND => MAX_BATCH_BYTES,
+        CONTROL_KIND => MAX_BATCH_BYTES,
         _ => MAX_PAYLOAD_BYTES,
     }
 }
 
-/// What records that are appended together mean for those before them.
+/// Whether the records of a batch follow or replace the records before them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchMode {
     /// They follow the records before them.
@@ -129,18 +129,18 @@
     Replace,
 }
 
-/// The content of a frame of [`COMPLETE_KIND`].
+/// The content of a control frame.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ControlFrame {
     /// The file is complete.
     Complete,
     /// Records that were appended together.
     Batch(BatchMode, Vec<Record>),
-    /// None that this version knows.
+    /// A payload that this version cannot decode.
     Unknown,
 }
 
-/// Returns the content of a frame of [`COMPLETE_KIND`].
+/// Decodes the payload of a control frame.
 pub(crate) fn decode_control(payload: &[u8]) -> ControlFrame {
     let (mode, batch) = match payload {
         [] => return ControlFrame::Complete,
@@ -151,7 +151,7 @@
     decode_batch(batch).map_or(ControlFrame::Unknown, |records| ControlFrame::Batch(mode, records))
 }
 
-/// Returns the payload of a frame that contains these records.
+/// Encodes these records as the payload of a control frame.
 pub(crate) fn encode_batch<'a>(mode: BatchMode, records: impl IntoIterator<Item = RecordRef<'a>>) -> Vec<u8> {
     let tag = match mode {
         BatchMode::Append => BATCH_TAG,
@@ -166,7 +166,7 @@
     payload
 }
 
-/// Returns the records of a batch, or `None` if the bytes are not one.
+/// Decodes the records of a batch, without its tag. Returns `None` if the bytes are not valid.
 fn decode_batch(batch: &[u8]) -> Option<Vec<Record>> {
     let mut records = Vec::new();
     let mut rest = batch;
@@ -180,7 +180,7 @@
     Some(records)
 }
 
-/// Returns the salt of the first header copy that is not damaged, or `None` if both are.
+/// Returns the salt of the first header copy that is valid, or `None` if both are damaged.
 pub(crate) fn read_header(bytes: &[u8]) -> Option<Salt> {
     (0..HEADER_COPIES).find_map(|copy| read_header_copy(bytes.get(copy * HEADER_BYTES..)?))
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,15 +1,16 @@
-//! An append-only log that survives its process. It handles frames and files and never interprets a record.
+//! An append-only log of records in files, which the next process reads. It never interprets a record.
 //!
 //! A file begins with two copies of its header, followed by frames. All checksums are seeded with the file's
-//! own salt, so that bytes from outside cannot be mistaken for a frame. A file is replaced as a whole: the
-//! next file begins with the records that are still needed and a frame that marks it as complete; only then
-//! is the previous file removed. The newest complete file therefore holds all records.
+//! own salt, so that a payload or another file's bytes cannot be mistaken for a frame. A file is replaced as
+//! a whole: the next file begins with the records that are still needed and a frame that marks it as
+//! complete; only then is the previous file removed. The newest complete file therefore holds all records.
 //!
-//! Records that are appended together are one frame and are valid together or not at all, wherever a write
-//! stopped. A file that was begun and is not complete is ignored: the file before it holds all records, also
+//! Records that are appended together are one frame and are valid together or not at all, also after a torn
+//! write. A file that was begun and is not complete is ignored: the file before it holds all records, also
 //! those that were written after the attempt to replace it.
 //!
-//! Writes are not synced: records survive the process, and not necessarily a failure of the machine.
+//! Writes are not followed by `fsync`: records survive a crash of the process, but not necessarily one of
+//! the machine.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
@@ -22,5 +23,5 @@
 pub use error::{FileDamage, JournalError};
 pub use file::{read_frames, ReadFrames};
 pub use frame::{
-    Record, RecordRef, Salt, COMPLETE_KIND, FRAME_OVERHEAD_BYTES, MAX_BATCH_BYTES, MAX_PAYLOAD_BYTES,
+    Record, RecordRef, Salt, CONTROL_KIND, FRAME_OVERHEAD_BYTES, MAX_BATCH_BYTES, MAX_PAYLOAD_BYTES,
 };
--- a/crates/journal/tests/directory.rs
+++ b/crates/journal/tests/directory.rs
@@ -1,7 +1,7 @@
 //! A journal's directory: replacement of files, interrupted at any byte, and damage.
 
 use linnetcart_journal::{
-    FileDamage, JournalDirectory, JournalError, OpenedJournal, Record, RecordRef, Salt, COMPLETE_KIND,
+    FileDamage, JournalDirectory, JournalError, OpenedJournal, Record, RecordRef, Salt, CONTROL_KIND,
 };
 use std::path::PathBuf;
 
@@ -42,7 +42,7 @@
     // The next file, cut at any byte, as if the process had died while it was writing.
     let mut next = Salt(9).header();
     Salt(9).append_frame(2, b"b", &mut next);
-    Salt(9).append_frame(COMPLETE_KIND, &[], &mut next);
+    Salt(9).append_frame(CONTROL_KIND, &[], &mut next);
     for cut in 0..=next.len() {
         std::fs::write(temp.0.join("journal-0000000002"), &next[..cut]).unwrap();
         let records = JournalDirectory::open(&temp.0, CAPACITY).unwrap().records;
@@ -76,8 +76,10 @@
     assert_eq!(opened.damage, [torn_end, FileDamage::Damaged { path: path.clone(), bytes: damaged }]);
     let lines: Vec<String> = opened.damage.iter().map(FileDamage::to_string).collect();
     let file = path.display();
-    let expected =
-        [format!("{file}: 3 bytes at the end are no record"), format!("{file}: {damaged} bytes are damaged")];
+    let expected = [
+        format!("{file}: the last 3 bytes are not a valid record"),
+        format!("{file}: {damaged} bytes are damaged"),
+    ];
     assert_eq!(lines, expected);
 }
 
@@ -106,11 +108,11 @@
 }
 
 #[test]
-fn name_taken_by_another_file_is_passed_over() {
+fn name_taken_by_another_file_is_skipped() {
     let temp = TemporaryDirectory::new("taken");
     let OpenedJournal { mut directory, .. } = JournalDirectory::open(&temp.0, CAPACITY).unwrap();
     directory.replace(SALT, [record(1, b"a")]).unwrap();
-    // A file that could neither be begun nor removed.
+    // A file that can neither be created nor removed.
     std::fs::create_dir(temp.0.join("journal-0000000002")).unwrap();
     assert!(matches!(directory.replace(SALT, [record(2, b"b")]), Err(JournalError::Io(_))));
     directory.replace(SALT, [record(3, b"c")]).unwrap();
@@ -120,11 +122,11 @@
 }
 
 #[test]
-fn file_begun_and_not_completed_changes_nothing_that_was_written_after_it() {
+fn incomplete_file_does_not_affect_records_written_after_it() {
     let temp = TemporaryDirectory::new("stale");
     let OpenedJournal { mut directory, .. } = JournalDirectory::open(&temp.0, CAPACITY).unwrap();
     directory.replace(SALT, [record(1, b"a")]).unwrap();
-    // The next file could be written in part only and not be removed.
+    // The next file, written in part only and not removed.
     let mut next = Salt(9).header();
     Salt(9).append_frame(7, b"stale", &mut next);
     std::fs::write(temp.0.join("journal-0000000002"), &next).unwrap();
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn capacity_is_kept_and_nothing_is_written_beyond_it() {
+fn write_beyond_capacity_refused() {
     let temp = TemporaryDirectory::new("capacity");
     let OpenedJournal { mut directory, .. } = JournalDirectory::open(&temp.0, 16 << 10).unwrap();
     directory.replace(SALT, [record(1, b"a")]).unwrap();
@@ -183,7 +185,7 @@
 }
 
 #[test]
-fn old_file_that_cannot_be_read_is_not_needed_beside_a_complete_one() {
+fn unreadable_old_file_ignored_if_newer_one_is_complete() {
     let temp = TemporaryDirectory::new("old-unreadable");
     let OpenedJournal { mut directory, .. } = JournalDirectory::open(&temp.0, CAPACITY).unwrap();
     directory.replace(SALT, [record(1, b"a")]).unwrap();
--- a/crates/journal/tests/frames.rs
+++ b/crates/journal/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames in the bytes of a file: cut, damaged, forged and arbitrary.
 
-use linnetcart_journal::{read_frames, Record, Salt, COMPLETE_KIND, FRAME_OVERHEAD_BYTES};
+use linnetcart_journal::{read_frames, Record, Salt, CONTROL_KIND, FRAME_OVERHEAD_BYTES};
 use proptest::prelude::*;
 
 const SALT: Salt = Salt(0x0123_4567_89ab_cdef);
@@ -17,7 +17,7 @@
 /// Returns a complete file with these records.
 fn file(records: &[Record]) -> JournalFile {
     let mut bytes = SALT.header();
-    SALT.append_frame(COMPLETE_KIND, &[], &mut bytes);
+    SALT.append_frame(CONTROL_KIND, &[], &mut bytes);
     let mut record_ends = vec![];
     for r in records {
         SALT.append_frame(r.kind, &r.payload, &mut bytes);
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -3,7 +3,7 @@
 //! [`Connection`] reads and writes only when asked to; it never registers with the event loop and never
 //! reports events itself.
 
-use crate::system_error::{connect_failure, meaning, ErrorMeaning};
+use crate::system_error::{classify_call_error, classify_connect_error, CallError};
 use crate::{ConnectFailure, Event, Token};
 use bytes::{Buf, BytesMut};
 use calloop::RegistrationToken;
@@ -12,7 +12,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// After so many interrupted writes in a row the connection waits, so that it cannot starve the others.
+/// Maximum number of writes in a row that a signal interrupts (`EINTR`). The next one is deferred, so that
+/// the connection cannot starve the others.
 const MAX_INTERRUPTED_WRITES: usize = 64;
 
 /// Result of writing the send queue.
@@ -20,9 +21,9 @@
 pub(crate) enum WriteOutcome {
     /// The send queue is empty.
     Flushed,
-    /// The system accepts no more bytes at present, and reports when it does.
+    /// The system's send buffer is full; the event loop reports when it has space.
     Blocked,
-    /// The system accepts no more bytes at present; the write has to be made again after a pause.
+    /// The system accepts no bytes and will not report when it does; the write is repeated after a pause.
     Deferred,
     /// The connection is lost.
     Failed,
@@ -39,7 +40,7 @@
     Blocked,
     /// A signal interrupted the read; it may be retried at once.
     Interrupted,
-    /// The system cannot read at present; the read has to be made again after a pause.
+    /// The system lacks resources for the read, which is repeated after a pause.
     Deferred,
     /// The connection is lost.
     Failed,
@@ -50,9 +51,9 @@
 pub(crate) enum ConnectOutcome {
     /// The connection is established.
     Established,
-    /// The system is still connecting, and reports when that ends.
+    /// The system is still connecting; the event loop reports the end of that.
     Pending,
-    /// The system cannot tell at present; it has to be asked again after a pause.
+    /// The system could not return the state of the connection; the check is repeated after a pause.
     Unknown,
     /// The connection could not be established.
     Failed(ConnectFailure),
@@ -73,14 +74,14 @@
     pub(crate) registration: RegistrationToken,
     state: ConnectionState,
     pub(crate) read_paused: bool,
-    /// The system reported input, and no read has found it exhausted since.
+    /// The system reported input, and no read since then has ended with `EAGAIN` or the end of the stream.
     pub(crate) readable: bool,
     read_ended: bool,
     unsent: BytesMut,
-    /// Number of bytes that were queued last.
+    /// Length of the last [`Connection::queue`], in bytes; 0 once it is taken back.
     last_queued_bytes: usize,
     written_bytes: u64,
-    /// When the connection began to close; since then it only writes its send queue.
+    /// When the connection began to close; since then it only writes its send queue and discards input.
     closing_since: Option<Instant>,
 }
 
@@ -138,7 +139,8 @@
         self.last_queued_bytes = bytes.len();
     }
 
-    /// Takes back the bytes that were queued last if none of them is written. Returns their number, or `None`.
+    /// Removes the bytes of the last [`Connection::queue`] if none of them is written. Returns their number,
+    /// or `None` if some are written or there is nothing to remove.
     pub(crate) fn take_back_last(&mut self) -> Option<usize> {
         let length = std::mem::take(&mut self.last_queued_bytes);
         let remaining = self.unsent.len().checked_sub(length).filter(|_| length > 0)?;
@@ -156,11 +158,12 @@
         true
     }
 
-    /// Asks the system for the result of the connection attempt.
+    /// Reads the result of the non-blocking `connect`: its error from `SO_ERROR`, its success from
+    /// `getpeername`.
     pub(crate) fn finish_connect(&mut self) -> ConnectOutcome {
         match self.stream.take_error() {
             Ok(None) => {}
-            Ok(Some(error)) => return ConnectOutcome::Failed(connect_failure(&error)),
+            Ok(Some(error)) => return ConnectOutcome::Failed(classify_connect_error(&error)),
             Err(_) => return ConnectOutcome::Unknown,
         }
         match self.stream.peer_addr() {
@@ -187,11 +190,11 @@
                     self.unsent.advance(count);
                     self.written_bytes += count as u64;
                 }
-                Err(error) => match meaning(&error) {
-                    ErrorMeaning::Interrupted if interruptions < MAX_INTERRUPTED_WRITES => interruptions += 1,
-                    ErrorMeaning::Interrupted | ErrorMeaning::Momentary => return WriteOutcome::Deferred,
-                    ErrorMeaning::WouldBlock => return WriteOutcome::Blocked,
-                    ErrorMeaning::Broken => return self.failed_write(&error),
+                Err(error) => match classify_call_error(&error) {
+                    CallError::Interrupted if interruptions < MAX_INTERRUPTED_WRITES => interruptions += 1,
+                    CallError::Interrupted | CallError::OutOfResources => return WriteOutcome::Deferred,
+                    CallError::WouldBlock => return WriteOutcome::Blocked,
+                    CallError::Fatal => return self.log_write_failure(&error),
                 },
             }
         }
@@ -200,9 +203,9 @@
         WriteOutcome::Flushed
     }
 
-    fn failed_write(&self, error: &io::Error) -> WriteOutcome {
+    fn log_write_failure(&self, error: &io::Error) -> WriteOutcome {
         let unsent = self.unsent.len();
-        tracing::debug!(%error, written = self.written_bytes, unsent, "connection broke in a write");
+        tracing::debug!(%error, written = self.written_bytes, unsent, "connection lost, write failed");
         WriteOutcome::Failed
     }
 
@@ -215,16 +218,16 @@
                 ReadOutcome::EndOfStream
             }
             Ok(count) => ReadOutcome::Received(count),
-            Err(error) => match meaning(&error) {
-                ErrorMeaning::WouldBlock => {
+            Err(error) => match classify_call_error(&error) {
+                CallError::WouldBlock => {
                     self.readable = false;
                     ReadOutcome::Blocked
                 }
-                ErrorMeaning::Interrupted => ReadOutcome::Interrupted,
-                ErrorMeaning::Momentary => ReadOutcome::Deferred,
-                ErrorMeaning::Broken => {
+                CallError::Interrupted => ReadOutcome::Interrupted,
+                CallError::OutOfResources => ReadOutcome::Deferred,
+                CallError::Fatal => {
                     let written = self.written_bytes;
-                    tracing::debug!(%error, written, "connection broke in a read");
+                    tracing::debug!(%error, written, "connection lost, read failed");
                     ReadOutcome::Failed
                 }
             },
--- a/crates/net/src/connections.rs
+++ b/crates/net/src/connections.rs
@@ -7,7 +7,7 @@
 
 use crate::connection::{ConnectOutcome, Connection, ConnectionState, WriteOutcome};
 use crate::reactor::Reactor;
-use crate::system_error::{connect_start, ConnectStart};
+use crate::system_error::{classify_connect_result, ConnectStart};
 use crate::{ConnectFailure, Event, Token};
 use calloop::Interest;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -22,7 +22,8 @@
 const DEFAULT_READS_PER_POLL: usize = 4;
 /// How long [`Connections::close_after_flush`] waits for the send queue to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before a call is made again that failed for a momentary reason, of which the system reports no end.
+/// Pause before a system call is repeated that failed for lack of resources: the event loop does not report
+/// when they are available again.
 pub(crate) const DEFERRED_CALL_PAUSE: Duration = Duration::from_millis(5);
 
 /// The open connections by token.
@@ -30,7 +31,7 @@
     open: BTreeMap<Token, Connection>,
     /// Connections that may have bytes to write.
     unflushed: BTreeSet<Token>,
-    /// Connections on which a call has to be made again after a pause.
+    /// Connections on which a system call is repeated after [`DEFERRED_CALL_PAUSE`].
     deferred: BTreeSet<Token>,
     deferred_until: Option<Instant>,
     max_connections: usize,
@@ -90,7 +91,7 @@
         token
     }
 
-    /// Begins to connect. An error concerns this machine, which could not prepare the connection.
+    /// Begins to connect. An error is local: the socket could not be created, configured or registered.
     fn begin_connect(
         &mut self,
         token: Token,
@@ -103,7 +104,7 @@
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
-        let started = connect_start(socket.connect(&addr.into()));
+        let started = classify_connect_result(socket.connect(&addr.into()));
         if started == ConnectStart::InProgress {
             self.insert(token, socket.into(), ConnectionState::Connecting, reactor)?;
         }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Writes the send queues of all connections. Returns the connections that were attempted.
+    /// Writes the send queues of all connections. Returns the connections on which it tried to.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor) -> Vec<Token> {
         let unflushed = std::mem::take(&mut self.unflushed);
         for &token in &unflushed {
@@ -212,22 +213,22 @@
             WriteOutcome::Flushed if connection.is_closing() => self.close(token, reactor),
             WriteOutcome::Flushed | WriteOutcome::Blocked => {}
             WriteOutcome::Deferred => self.defer(token),
-            WriteOutcome::Failed => self.lose(token, reactor),
+            WriteOutcome::Failed => self.close_lost(token, reactor),
         }
     }
 
-    /// Remembers that a call on a connection has to be made again after a pause.
+    /// Schedules the repetition of a system call on a connection after [`DEFERRED_CALL_PAUSE`].
     fn defer(&mut self, token: Token) {
         self.deferred.insert(token);
         self.deferred_until.get_or_insert_with(|| Instant::now() + DEFERRED_CALL_PAUSE);
     }
 
-    /// Returns how long no call that was deferred is due; `None` if none is deferred.
+    /// Returns the time until the deferred calls are due, or `None` if none is deferred.
     pub(crate) fn deferred_for(&self, now: Instant) -> Option<Duration> {
         self.deferred_until.map(|until| until.saturating_duration_since(now))
     }
 
-    /// Makes the deferred calls again if their pause is over: writes now, and reads with the other input.
+    /// Repeats the deferred calls if their pause is over: writes at once, reads with the pending ones.
     pub(crate) fn resume_deferred(&mut self, now: Instant, reactor: &mut Reactor) {
         if self.deferred_until.is_none_or(|until| until > now) {
             return;
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Makes all calls again that may have been due: the readiness of connections was lost.
+    /// Reads and writes on all connections as if they were ready, because readiness reports may be lost.
     pub(crate) fn retry_all_calls(&mut self, reactor: &mut Reactor) {
         let all: Vec<Token> = self.open.keys().copied().collect();
         for token in all {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// The reading of a connection that is being established checks on that first.
+    /// Covers connects as well: a read on a connecting socket first reads the result of the `connect`.
     fn retry_calls(&mut self, token: Token, reactor: &mut Reactor) {
         reactor.pending_reads.insert(token);
         self.write(token, reactor);
@@ -255,15 +256,15 @@
 
     /// Closes a connection that could not be established; the next poll reports it.
     fn fail_connect(&mut self, token: Token, failure: ConnectFailure, reactor: &mut Reactor) {
-        let was_wanted = self.open.get(&token).is_some_and(|connection| !connection.is_closing());
+        let expects_event = self.open.get(&token).is_some_and(|connection| !connection.is_closing());
         self.close(token, reactor);
-        if was_wanted {
+        if expects_event {
             reactor.deferred_events.push(Event::ConnectFailed { token, failure });
         }
     }
 
-    /// Closes a failed connection; the next poll reports the loss.
-    fn lose(&mut self, token: Token, reactor: &mut Reactor) {
+    /// Closes a lost connection; the next poll reports the loss.
+    fn close_lost(&mut self, token: Token, reactor: &mut Reactor) {
         let Some(connection) = self.open.get(&token) else { return };
         let event = connection.loss_event(token);
         self.close(token, reactor);
--- a/crates/net/src/connections/reading.rs
+++ b/crates/net/src/connections/reading.rs
@@ -39,7 +39,7 @@
                 ControlFlow::Break(())
             }
             ReadOutcome::Failed => {
-                self.lose(token, reactor);
+                self.close_lost(token, reactor);
                 ControlFlow::Break(())
             }
         }
@@ -61,7 +61,7 @@
 }
 
 /// Returns the event that reports the result of a read, if there is one. The loss of a connection is reported
-/// by [`Connections::lose`].
+/// by [`Connections::close_lost`].
 fn read_event(token: Token, outcome: ReadOutcome, read_buffer: &[u8]) -> Option<Event> {
     match outcome {
         ReadOutcome::Received(count) => {
--- a/crates/net/src/datagrams.rs
+++ b/crates/net/src/datagrams.rs
@@ -1,6 +1,6 @@
 //! UDP sockets.
 //!
-//! This module owns the sockets. It never retries and never queues a datagram.
+//! This module owns the sockets. A datagram that the system does not accept is neither retried nor queued.
 
 use crate::reactor::Reactor;
 use crate::{BoundSocket, Event, Token};
@@ -68,8 +68,8 @@
                     out.push(Event::Datagram(token, bytes));
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // The error belongs to an earlier datagram that was sent and not delivered; receiving
-                // continues.
+                // The error may concern an earlier datagram that was sent and not delivered (ICMP); `recv`
+                // clears it, and receiving continues.
                 Err(_) => {}
             }
         }
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -22,7 +22,7 @@
     ConnectFailed {
         /// The connection.
         token: Token,
-        /// Who is at fault.
+        /// Whether the failure is local or that of the peer.
         failure: ConnectFailure,
     },
     /// Bytes were received on a connection.
--- a/crates/net/src/listeners.rs
+++ b/crates/net/src/listeners.rs
@@ -1,11 +1,11 @@
 //! Listening TCP sockets.
 //!
-//! This module owns the listeners, and the pause in accepting while the system cannot create a connection.
+//! This module owns the listeners, and the pause in accepting after `accept` failed.
 //! Accepted connections belong to [`Connections`].
 
 use crate::connections::Connections;
 use crate::reactor::Reactor;
-use crate::system_error::{accept_error, AcceptError};
+use crate::system_error::{classify_accept_error, AcceptError};
 use crate::{BoundSocket, Event, Token};
 use calloop::{Interest, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -17,13 +17,14 @@
 
 /// Maximum number of connections accepted from one listener in one poll; the others wait for the next poll.
 const ACCEPTS_PER_POLL: usize = 256;
-/// Maximum number of established connections that the system queues until they are accepted.
+/// The backlog of `listen`: maximum number of established connections that the system queues for `accept`.
 const LISTEN_BACKLOG: i32 = 4096;
-/// After so many failed connections in a row, accepting pauses.
+/// Maximum number of connections in one poll that fail before they are accepted; one more pauses accepting.
 const MAX_ACCEPT_FAILURES: usize = 32;
-/// Pause in accepting connections while the system cannot create one.
+/// Pause in accepting connections after `accept` failed.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a listener that is being closed waits until its queue could be accepted.
+/// Maximum time that a closing listener stays open until its queue is accepted. Connections that are still
+/// queued then are reset.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Listener {
@@ -36,11 +37,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerState {
     Open,
-    /// The listener is closed when its queue is empty, or at this time.
+    /// The listener is closed when its queue is empty, or at `until`.
     Closing {
         until: Instant,
     },
-    /// The queue of the listener was found empty.
+    /// The queue was empty while the listener was closing; it can be closed now.
     Drained,
 }
 
@@ -49,15 +50,15 @@
 pub(crate) struct Listeners {
     open: BTreeMap<Token, Listener>,
     paused_until: Option<Instant>,
-    /// Accepting has failed since the last connection, which has been logged.
+    /// Accepting has failed since the last accepted connection, and the first failure has been logged.
     is_failing: bool,
 }
 
 impl Listeners {
     pub(crate) fn listen(&mut self, addr: SocketAddr, reactor: &mut Reactor) -> io::Result<BoundSocket> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
-        // A port chosen by the system must not be a reserved one; a requested port may be reserved, or may
-        // have been in use until recently.
+        // A requested port may be held by a `Reserved`, or have connections in TIME_WAIT; both need
+        // `SO_REUSEADDR`. Without the option, the system chooses no port that a `Reserved` holds.
         let port_is_requested = addr.port() != 0;
         socket.set_reuse_address(port_is_requested)?;
         socket.set_nonblocking(true)?;
@@ -88,7 +89,7 @@
         self.close_drained(now, reactor);
     }
 
-    /// Closes the listeners that are to be closed and whose queue is empty, or whose time for that is over.
+    /// Closes the closing listeners whose queue is empty or whose [`CLOSE_TIMEOUT`] has elapsed.
     pub(crate) fn close_drained(&mut self, now: Instant, reactor: &mut Reactor) {
         let is_due = |listener: &Listener| match listener.state {
             ListenerState::Open => false,
@@ -138,12 +139,12 @@
             let error = match open.socket.accept() {
                 Ok((stream, peer)) => {
                     self.is_failing = false;
-                    admit(listener, stream, peer, connections, reactor, out);
+                    insert_or_close(listener, stream, peer, connections, reactor, out);
                     continue;
                 }
                 Err(error) => error,
             };
-            match accept_error(&error) {
+            match classify_accept_error(&error) {
                 AcceptError::Empty => {
                     if matches!(open.state, ListenerState::Closing { .. }) {
                         open.state = ListenerState::Drained;
@@ -152,7 +153,7 @@
                 }
                 // This connection failed before it was accepted; the others are not affected.
                 AcceptError::OneConnection if failures < MAX_ACCEPT_FAILURES => failures += 1,
-                AcceptError::OneConnection | AcceptError::Momentary => {
+                AcceptError::OneConnection | AcceptError::OutOfResources => {
                     self.pause(listener, &error, now, reactor);
                     return;
                 }
@@ -172,8 +173,8 @@
     }
 }
 
-/// Adds an accepted connection, or closes it if the maximum number of connections is reached.
-fn admit(
+/// Adds an accepted connection, or closes it if it exceeds the maximum number or cannot be registered.
+fn insert_or_close(
     listener: Token,
     stream: TcpStream,
     peer: SocketAddr,
--- a/crates/net/src/net.rs
+++ b/crates/net/src/net.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Pause after a wait for events that failed, so that a lasting failure costs little processor time.
+/// Pause after a failed wait for events, so that a persistent failure does not keep the CPU busy.
 const FAILED_WAIT_PAUSE: Duration = Duration::from_millis(1);
 
 /// Limits on reading, so that no connection can starve the others.
@@ -99,8 +99,9 @@
         self.connections.send(token, bytes);
     }
 
-    /// Takes back the bytes of the last [`Net::send`] on a connection if the system has accepted none of them.
-    /// Returns their number, or `None` if they are written, in part or as a whole.
+    /// Removes the bytes of the last [`Net::send`] from the send queue if the system has accepted none of
+    /// them. Returns their number, or `None` if they are written in part or as a whole, were already removed,
+    /// or the connection is closing.
     pub fn take_back_last(&mut self, token: Token) -> Option<usize> {
         self.connections.take_back_last(token)
     }
@@ -120,7 +121,7 @@
         self.connections.written_bytes(token)
     }
 
-    /// When the last poll began to read: input that came later is not reported yet.
+    /// When the last poll began to read: input that arrived later may not be reported yet.
     pub fn last_read_at(&self) -> Instant {
         self.last_read_at
     }
@@ -156,13 +157,12 @@
         self.connections.reset(token, &mut self.reactor);
     }
 
-    /// Closes a connection once its queued bytes are written, or after a timeout of a few seconds. No event
-    /// is reported.
+    /// Closes a connection once its queued bytes are written, or after 5 seconds. No event is reported.
     pub fn close_after_flush(&mut self, token: Token) {
         self.connections.close_after_flush(token);
     }
 
-    /// Writes queued bytes as far as the system accepts them. Returns the connections that were attempted.
+    /// Writes queued bytes as far as the system accepts them. Returns the connections on which it tried to.
     pub fn flush(&mut self) -> Vec<Token> {
         self.connections.flush(&mut self.reactor)
     }
@@ -186,17 +186,17 @@
         out.append(&mut self.reactor.deferred_events);
     }
 
-    /// The wait may have failed after the system had reported readiness, which it does not report again. All
-    /// sockets are tried, so that nothing is lost.
+    /// The wait may have failed after the system had reported readiness, which is edge-triggered and not
+    /// reported again. All sockets are therefore read and written as if they were ready.
     fn recover_from_failed_wait(&mut self, error: &io::Error) {
-        tracing::debug!(%error, "wait for events failed, all sockets are tried");
+        tracing::debug!(%error, "wait for events failed, retrying reads and writes on all sockets");
         std::thread::sleep(FAILED_WAIT_PAUSE);
         self.connections.retry_all_calls(&mut self.reactor);
         self.reactor.pending_reads.extend(self.listeners.tokens());
         self.reactor.pending_reads.extend(self.datagrams.tokens());
     }
 
-    /// Returns how long the event loop may wait: zero while the last poll left work behind.
+    /// Returns how long the event loop may wait: zero if the last poll left work for this one.
     fn dispatch_timeout(&self, timeout: Duration, now: Instant) -> Duration {
         let accept_paused = self.listeners.is_paused(now);
         if self.has_remaining_work(accept_paused) {
--- a/crates/net/src/reactor.rs
+++ b/crates/net/src/reactor.rs
@@ -36,8 +36,8 @@
     handle: LoopHandle<'static, Wakeups>,
     wakeups: Wakeups,
     last_token: Token,
-    /// Sockets to read from or to accept on. Readiness is edge-triggered, so the system does not report input
-    /// again that was left unread.
+    /// Sockets to read from or to accept on. Readiness is edge-triggered, so the system does not report again
+    /// the input that was left unread.
     pub(crate) pending_reads: BTreeSet<Token>,
     /// Events that occurred outside of a poll; the next poll reports them.
     pub(crate) deferred_events: Vec<Event>,
--- a/crates/net/src/reserved.rs
+++ b/crates/net/src/reserved.rs
@@ -4,7 +4,8 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// A port that the system assigns to no other socket while this value exists.
+/// A bound socket, without `listen`, by which the system assigns its port to no other socket while this value
+/// exists.
 ///
 /// Connections to it are refused until [`Net::listen`](crate::Net::listen) is called with its address, and
 /// again after [`Net::stop_listening`](crate::Net::stop_listening).
@@ -20,7 +21,7 @@
         let any_port = SocketAddr::new(ip, 0);
         let socket = Socket::new(Domain::for_address(any_port), Type::STREAM, Some(Protocol::TCP))?;
         socket.bind(&any_port.into())?;
-        // Set after the bind, so that a later socket of this process can bind to the same port.
+        // `SO_REUSEADDR`, set after the bind, lets a later socket that also sets it bind to the same port.
         socket.set_reuse_address(true)?;
         let local_address = socket.local_addr()?;
         let addr = local_address
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -1,18 +1,19 @@
-//! Retries of steps of a program's start that fail for a moment.
+//! Retries of startup steps that fail with a transient error.
 
-use crate::is_momentary;
+use crate::is_transient;
 use std::io;
 use std::time::Duration;
 
-/// Pause between two tries.
+/// Pause between a failed call and its retry.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Tries until it succeeds or fails for a reason that is not momentary. The first failure is logged.
+/// Calls `attempt` until it succeeds or fails with an error that is not transient ([`is_transient`]), with
+/// [`RETRY_PAUSE`] between the calls. Logs the first failure only.
 pub fn retry_momentary<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut is_logged = false;
     loop {
         match attempt() {
-            Err(error) if is_momentary(&error) => {
+            Err(error) if is_transient(&error) => {
                 if !is_logged {
                     tracing::warn!(%error, "start fails for the moment, it is tried again");
                 }
--- a/crates/net/src/system_error.rs
+++ b/crates/net/src/system_error.rs
@@ -1,39 +1,39 @@
-//! What errors of system calls mean. This is the only module of the crate that looks at an errno.
+//! Classification of the errors of system calls. No other module of the crate looks at an errno.
 
 use rustix::io::Errno;
 use std::io;
 
-/// What an error of a call on a connection means.
+/// How to proceed after an error of a system call on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ErrorMeaning {
-    /// A signal interrupted the call, which may be made again at once.
+pub(crate) enum CallError {
+    /// A signal interrupted the call (`EINTR`), which may be repeated at once.
     Interrupted,
-    /// The call would have to wait; the system reports when it can be made.
+    /// The call would block (`EAGAIN`); the event loop reports when it can be repeated.
     WouldBlock,
-    /// The system lacks memory, buffers or file descriptors at present. It does not report when that ends: the
-    /// call has to be made again after a pause.
-    Momentary,
-    /// The connection is of no further use.
-    Broken,
+    /// The system lacks memory, buffers or file descriptors. The event loop does not report when they are
+    /// available again, so the call has to be repeated after a pause.
+    OutOfResources,
+    /// The connection is lost.
+    Fatal,
 }
 
-/// What an error of `accept` means.
+/// How to proceed after an error of `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptError {
     /// No connection is queued.
     Empty,
     /// The connection at the front of the queue failed, or a signal arrived; others may be queued.
     OneConnection,
-    /// The system cannot create a connection at present. The queue stays as it is.
-    Momentary,
+    /// The system lacks memory, buffers or file descriptors. The connections stay queued.
+    OutOfResources,
 }
 
 /// Why a connection could not be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// This machine could not begin: it says nothing about the peer.
+    /// This machine could not send the connection request, which says nothing about the peer.
     Local,
-    /// The peer or the way to it refused the connection.
+    /// The peer refused the connection, or could not be reached.
     Remote,
 }
 
@@ -46,58 +46,58 @@
     Failed(ConnectFailure),
 }
 
-/// Returns what an error of a call on a connection means.
-pub(crate) fn meaning(error: &io::Error) -> ErrorMeaning {
+/// Classifies an error of a system call on a connection.
+pub(crate) fn classify_call_error(error: &io::Error) -> CallError {
     match Errno::from_io_error(error) {
-        Some(Errno::INTR) => ErrorMeaning::Interrupted,
-        Some(Errno::AGAIN) => ErrorMeaning::WouldBlock,
-        Some(errno) if is_lack_of_resources(errno) => ErrorMeaning::Momentary,
-        _ => ErrorMeaning::Broken,
+        Some(Errno::INTR) => CallError::Interrupted,
+        Some(Errno::AGAIN) => CallError::WouldBlock,
+        Some(errno) if is_out_of_resources(errno) => CallError::OutOfResources,
+        _ => CallError::Fatal,
     }
 }
 
-/// Returns what an error of `accept` means.
-pub(crate) fn accept_error(error: &io::Error) -> AcceptError {
-    match meaning(error) {
-        ErrorMeaning::WouldBlock => AcceptError::Empty,
-        ErrorMeaning::Momentary => AcceptError::Momentary,
-        ErrorMeaning::Interrupted | ErrorMeaning::Broken => AcceptError::OneConnection,
+/// Classifies an error of `accept`.
+pub(crate) fn classify_accept_error(error: &io::Error) -> AcceptError {
+    match classify_call_error(error) {
+        CallError::WouldBlock => AcceptError::Empty,
+        CallError::OutOfResources => AcceptError::OutOfResources,
+        CallError::Interrupted | CallError::Fatal => AcceptError::OneConnection,
     }
 }
 
-/// Returns what the result of `connect` on a non-blocking socket means.
-pub(crate) fn connect_start(result: io::Result<()>) -> ConnectStart {
+/// Classifies the result of `connect` on a non-blocking socket.
+pub(crate) fn classify_connect_result(result: io::Result<()>) -> ConnectStart {
     let Err(error) = result else { return ConnectStart::InProgress };
     match Errno::from_io_error(&error) {
-        // An interrupted connect goes on in the kernel.
+        // After `EINTR`, the kernel continues to connect.
         Some(Errno::INPROGRESS | Errno::ALREADY | Errno::INTR) => ConnectStart::InProgress,
-        _ => ConnectStart::Failed(connect_failure(&error)),
+        _ => ConnectStart::Failed(classify_connect_error(&error)),
     }
 }
 
-/// Returns who is at fault when a connection cannot be established.
-pub(crate) fn connect_failure(error: &io::Error) -> ConnectFailure {
+/// Classifies the error of a connection that could not be established.
+pub(crate) fn classify_connect_error(error: &io::Error) -> ConnectFailure {
     match Errno::from_io_error(error) {
-        // `EAGAIN` of a TCP connect means that no local port or route cache entry is free.
+        // On a TCP connect, `EAGAIN` means that no local port or routing cache entry is free.
         Some(Errno::ADDRNOTAVAIL | Errno::ADDRINUSE | Errno::AGAIN | Errno::NETUNREACH | Errno::NETDOWN) => {
             ConnectFailure::Local
         }
-        Some(errno) if is_lack_of_resources(errno) => ConnectFailure::Local,
+        Some(errno) if is_out_of_resources(errno) => ConnectFailure::Local,
         _ => ConnectFailure::Remote,
     }
 }
 
-/// Whether an error will probably be over soon, so that the call is worth making again: a signal, or a lack of
-/// memory, buffers, descriptors or space, or a failed transfer.
-pub fn is_momentary(error: &io::Error) -> bool {
+/// Whether an error is transient, so that repeating the call may succeed: an interruption by a signal, a lack
+/// of memory, buffers, file descriptors or disk space, a busy resource, or an I/O error of the device.
+pub fn is_transient(error: &io::Error) -> bool {
     match Errno::from_io_error(error) {
         Some(Errno::INTR | Errno::AGAIN | Errno::NOSPC | Errno::DQUOT | Errno::IO | Errno::BUSY) => true,
-        Some(errno) => is_lack_of_resources(errno),
+        Some(errno) => is_out_of_resources(errno),
         None => false,
     }
 }
 
-fn is_lack_of_resources(errno: Errno) -> bool {
+fn is_out_of_resources(errno: Errno) -> bool {
     matches!(errno, Errno::NOBUFS | Errno::NOMEM | Errno::MFILE | Errno::NFILE)
 }
 
--- a/crates/platform/src/shell/environment.rs
+++ b/crates/platform/src/shell/environment.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use anyhow::Context;
-use linnetcart_net::is_momentary;
+use linnetcart_net::is_transient;
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -50,8 +50,8 @@
 
 impl ConfigError {
     /// Whether the configuration can probably be read soon.
-    pub fn is_momentary(&self) -> bool {
-        matches!(self, ConfigError::Unreadable { error, .. } if is_momentary(error))
+    pub fn is_transient(&self) -> bool {
+        matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
     }
 }
 
--- a/crates/platform/src/shell/startup.rs
+++ b/crates/platform/src/shell/startup.rs
@@ -17,7 +17,7 @@
 use anyhow::Context;
 use calloop::signals::Signal;
 use linnetcart_journal::{JournalDirectory, JournalError, OpenedJournal};
-use linnetcart_net::{is_momentary, retry_momentary, Net, ReadLimits};
+use linnetcart_net::{is_transient, retry_momentary, Net, ReadLimits};
 use std::collections::BTreeSet;
 use std::io;
 use std::path::Path;
@@ -53,13 +53,13 @@
     let mut waited = Waited::default();
     let path = &environment.config;
     let read = |_: &mut Net| read_config(path);
-    let Retries::Done(config) = retry(&mut net, &mut waited, read, ConfigError::is_momentary)? else {
+    let Retries::Done(config) = retry(&mut net, &mut waited, read, ConfigError::is_transient)? else {
         return Ok(Startup::Terminated);
     };
     let clocks = StartClocks::read();
     let state = environment.state.display();
     let replay = |_: &mut Net| replay_journal(&environment.state, &config, clocks.reference);
-    let replayed = retry(&mut net, &mut waited, replay, JournalError::is_momentary)
+    let replayed = retry(&mut net, &mut waited, replay, JournalError::is_transient)
         .with_context(|| format!("the journal in {state} cannot be read; RELAY_STATE names the folder"))?;
     let Retries::Done(ReplayedJournal { directory, replay }) = replayed else {
         return Ok(Startup::Terminated);
@@ -70,7 +70,7 @@
     let mut core = Core::new(config, replay, CLOCK_START, clocks.wall);
     // A new file is begun before the first client connects.
     write_records(&mut core, &mut journal, clocks.started_at);
-    let listened = retry(&mut net, &mut waited, |net| net.listen(listen), is_momentary)
+    let listened = retry(&mut net, &mut waited, |net| net.listen(listen), is_transient)
         .with_context(|| format!("cannot listen on {listen}; RELAY_CONFIG names it"))?;
     let Retries::Done(listener) = listened else { return Ok(Startup::Terminated) };
     tracing::info!(%listen, "ready");
--- a/crates/platform/src/shell/startup/waiting.rs
+++ b/crates/platform/src/shell/startup/waiting.rs
@@ -27,13 +27,13 @@
     net: &mut Net,
     waited: &mut Waited,
     mut attempt: impl FnMut(&mut Net) -> Result<T, E>,
-    is_momentary: impl Fn(&E) -> bool,
+    is_transient: impl Fn(&E) -> bool,
 ) -> Result<Retries<T>, E> {
     let mut is_logged = false;
     loop {
         match attempt(net) {
             Ok(done) => return Ok(Retries::Done(done)),
-            Err(error) if is_momentary(&error) => log_once(&mut is_logged, &error),
+            Err(error) if is_transient(&error) => log_once(&mut is_logged, &error),
             Err(error) => return Err(error),
         }
         wait(net, waited);
