--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -9,38 +9,38 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The minimum number of file descriptors that a courier needs.
+/// Minimum number of file descriptors of a courier.
 const MIN_FILE_DESCRIPTORS: usize = 64;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file is not JSON, or a field is missing or has another type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The settings cannot be used.
+    /// The settings of the deployment are invalid.
     #[error("settings: {0}")]
     Settings(#[from] linnetcart_deployment_settings::SettingsError),
     /// The settings name no class of messages.
-    #[error("settings.services is empty; a courier needs a class")]
+    #[error("settings.services is empty; at least one class of messages is required")]
     NoClasses,
     /// The limits are below the minimum.
-    #[error("limits: 64 sockets and a little disk are the least")]
+    #[error("limits: `sockets` must be at least 64 and `disk_mb` greater than 0")]
     LimitsTooLow,
 }
 
 /// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Number of file descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     pub file_descriptors: usize,
-    /// Megabytes (10^6 bytes) in the state directory.
+    /// Maximum size of the files in the state directory, in megabytes (10^6 bytes).
     pub disk_mb: f64,
 }
 
 impl Limits {
-    /// Returns the number of bytes that the journal may take.
+    /// Returns the maximum size of the journal's files together, in bytes.
     pub fn disk_bytes(&self) -> u64 {
         (self.disk_mb * 1e6) as u64
     }
@@ -64,10 +64,10 @@
     pub destination: u32,
     /// Its state.
     pub status: ListedStatus,
-    /// Its rate limit in calls per second; its accuracy is in the settings.
+    /// Its rate limit, in calls per second; the settings say how accurate it is.
     #[serde(default, rename = "weight")]
     pub rate: f64,
-    /// Its last start; Unix time in milliseconds.
+    /// The time of its last start, in milliseconds since the Unix epoch.
     #[serde(default, rename = "since_ms")]
     pub started_at_ms: u64,
 }
@@ -133,9 +133,9 @@
     pub discovery: SocketAddr,
     /// The seed for random numbers.
     pub seed: u64,
-    /// The process's limits.
+    /// The resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list of the previous process.
+    /// The endpoint list of the previous process, which is in force until discovery sends one.
     pub cached_list: WatchEvent,
     /// The settings of the deployment.
     pub settings: DeploymentSettings,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The courier on the platform's own protocol.
+//! The courier for the platform's own protocol on HTTP/1.1.
 //!
 //! [`core`] performs no I/O: its inputs are bytes, clock readings and connection events; its outputs are
 //! bytes, connects, closes and journal records. It leaves every decision on messages to the library
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,4 +1,5 @@
-//! The shell: moves bytes between sockets, journal and core, and provides the clock. It decides nothing.
+//! The shell of the platform courier: its event loop performs the I/O for the [`core`](crate::core) and reads
+//! the clock. It decides nothing.
 
 mod clocks;
 mod environment;
@@ -21,14 +22,16 @@
 use std::time::{Duration, Instant};
 use upstream_tokens::UpstreamTokens;
 
-/// Start of the courier's clock. It is not zero, so that times before the start can be represented.
+/// Reading of the courier's clock at the start of the process: 1 h, in nanoseconds. It is not zero, so that
+/// times before the start can be represented.
 const CLOCK_START: Time = 3_600_000 * MILLISECOND;
 /// Maximum time that a poll waits for an event.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(500);
-/// Time limit for sending the last answers before the process exits.
+/// Maximum time for sending the last answers before the process exits, in nanoseconds.
 const FLUSH_TIMEOUT: Time = 100 * MILLISECOND;
+/// Maximum time that a poll waits for an event while the last answers are sent.
 const FLUSH_POLL_WAIT: Duration = Duration::from_millis(10);
-/// An unreadable configuration is probably being replaced: it is read again after this time.
+/// Time until an unreadable configuration, which is probably being replaced, is read again; in nanoseconds.
 const CONFIG_RETRY_INTERVAL: Time = 200 * MILLISECOND;
 
 /// Why the configuration is read again.
@@ -36,7 +39,7 @@
 enum ReloadCause {
     /// A signal requested it.
     Signal,
-    /// The previous read failed, which has been logged.
+    /// The previous read failed. The failure has been logged, so that further ones are not.
     Retry,
 }
 
@@ -46,22 +49,25 @@
     journal: JournalWriter,
     log: CoreLog,
     listener: Token,
+    /// The open connections of clients.
     clients: BTreeSet<Token>,
     upstream: UpstreamTokens,
+    /// The instant of [`CLOCK_START`].
     started_at: Instant,
     environment: Environment,
+    /// When the configuration is read again after a failure, on the courier's clock.
     config_retry_at: Option<Time>,
 }
 
-/// Runs the courier until a signal ends it.
+/// Runs the courier until `SIGTERM` or `SIGINT` ends it.
 ///
 /// # Errors
 ///
-/// If the configuration is wrong, or names a directory or an address that cannot be used.
+/// If the configuration is invalid, or the state directory or the listen address cannot be used.
 pub fn run(environment: Environment) -> anyhow::Result<()> {
     match startup::start(environment)? {
         Startup::Ready(mut shell) => shell.serve(),
-        Startup::Terminated => tracing::info!("terminated during the startup"),
+        Startup::Terminated => tracing::info!("terminated during startup"),
     }
     Ok(())
 }
@@ -81,7 +87,7 @@
             let now = self.now();
             self.core.advance_clock(now);
             for event in events.drain(..) {
-                self.handle(event);
+                self.handle_event(event);
             }
             if self.config_retry_at.is_some_and(|retry_at| retry_at <= now) {
                 self.reload_config(ReloadCause::Retry);
@@ -90,7 +96,7 @@
             write_records(&mut self.core, &mut self.journal, self.started_at);
             let input_read_at = self.net.last_read_at().saturating_duration_since(self.started_at);
             self.core.recheck_attempts(CLOCK_START + input_read_at.as_nanos() as Time, self.now());
-            let written_to = self.carry_out();
+            let written_to = self.execute_outputs();
             self.take_back_unwritten(&written_to);
             self.log.update(&mut self.core, self.journal.size(), now);
         }
@@ -98,9 +104,10 @@
         tracing::info!("shutdown complete");
     }
 
-    /// Waits until the last answers are sent, so that clients get them before the process exits.
+    /// Waits until the last answers are sent, at most [`FLUSH_TIMEOUT`]. Bytes that are still queued when the
+    /// process exits do not reach their clients.
     fn flush(&mut self) {
-        // A request that is read now would get no answer.
+        // A request that is read now would not be answered.
         for &client in &self.clients {
             self.net.pause_reads(client);
         }
@@ -112,7 +119,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Accepted { token, .. } => {
                 self.clients.insert(token);
@@ -133,26 +140,26 @@
                 Some(id) => self.core.upstream_received(id, &bytes),
                 None => self.core.client_received(token, &bytes),
             },
-            Event::HalfClosed(token) => self.half_closed(token),
-            Event::Closed { token, written } => self.closed(token, written),
-            Event::Signal(signal) => self.signalled(signal),
+            Event::HalfClosed(token) => self.handle_half_closed(token),
+            Event::Closed { token, written } => self.handle_closed(token, written),
+            Event::Signal(signal) => self.handle_signal(signal),
             Event::Datagram(..) => {}
         }
     }
 
-    /// The other side sends no more. An endpoint that does so is of no further use; a client still gets its
-    /// answers.
-    fn half_closed(&mut self, token: Token) {
+    /// Handles a peer that has closed its sending side (TCP half-close). An endpoint or discovery can send no
+    /// more answers, so the connection is closed; a client still gets its answers.
+    fn handle_half_closed(&mut self, token: Token) {
         if self.upstream.id(token).is_none() {
             self.core.client_half_closed(token);
             return;
         }
         let written = self.net.written_bytes(token);
         self.net.close(token);
-        self.closed(token, written);
+        self.handle_closed(token, written);
     }
 
-    fn signalled(&mut self, signal: i32) {
+    fn handle_signal(&mut self, signal: i32) {
         if signal == Signal::SIGHUP as i32 {
             self.reload_config(ReloadCause::Signal);
         } else {
@@ -161,7 +168,7 @@
         }
     }
 
-    fn closed(&mut self, token: Token, written: u64) {
+    fn handle_closed(&mut self, token: Token, written: u64) {
         if let Some(id) = self.upstream.id(token) {
             self.core.upstream_disconnected(id, written);
         }
@@ -171,8 +178,8 @@
         self.upstream.remove_token(token);
     }
 
-    /// Reads the configuration again. An unreadable one leaves the previous one in force and is read again
-    /// later.
+    /// Reads the configuration again. If that fails, the previous one stays in force and the read is retried
+    /// after [`CONFIG_RETRY_INTERVAL`].
     fn reload_config(&mut self, cause: ReloadCause) {
         self.config_retry_at = None;
         match read_config(&self.environment.config) {
@@ -190,8 +197,8 @@
         }
     }
 
-    /// Writes what was queued. A request of which the system accepts no byte is taken back: by the time at which it
-    /// could leave, its endpoint may be draining or a Retry-After in force.
+    /// Writes the send queues. A request of which the system accepts no byte is removed from its queue and
+    /// decided anew: by the time it could be sent, its endpoint may be draining or a Retry-After in force.
     fn take_back_unwritten(&mut self, written_to: &[ConnectionId]) {
         if written_to.is_empty() {
             return;
@@ -207,8 +214,8 @@
         }
     }
 
-    /// Carries out the outputs. Returns the upstream connections that were written to.
-    fn carry_out(&mut self) -> Vec<ConnectionId> {
+    /// Executes the core's outputs. Returns the upstream connections with newly queued bytes.
+    fn execute_outputs(&mut self) -> Vec<ConnectionId> {
         let mut written_to = Vec::new();
         for output in self.core.take_outputs() {
             match output {
@@ -244,7 +251,8 @@
     }
 }
 
-/// Writes the records of an iteration. What depends on a record that is not written is undone.
+/// Writes the records of one iteration ahead of its outputs. If that fails, the core undoes the actions that
+/// depend on them.
 fn write_records(core: &mut Core, journal: &mut JournalWriter, started_at: Instant) {
     let records = core.take_records();
     match journal.write(&records, core, clock(started_at)) {
@@ -253,7 +261,7 @@
     }
 }
 
-/// Reads the courier's clock.
+/// Reads the courier's clock: [`CLOCK_START`] plus the monotonic time since the start, in nanoseconds.
 fn clock(started_at: Instant) -> Time {
     CLOCK_START + started_at.elapsed().as_nanos() as Time
 }
--- a/crates/platform/src/shell/clocks.rs
+++ b/crates/platform/src/shell/clocks.rs
@@ -6,44 +6,47 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Identifies the run of the machine since it was started.
+/// File with the random id that the kernel draws at each boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
-/// Readings that are taken within this time count as simultaneous.
+/// Maximum time between two readings that count as simultaneous.
 const MAX_READING_TIME: Duration = Duration::from_micros(200);
-/// After so many tries the readings that were closest together are used.
+/// Maximum number of pairs of readings; then the pair whose readings are closest together is used.
 const MAX_READINGS: usize = 50;
 
-/// Readings of the clocks at one moment.
+/// Readings of the clocks at the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct StartClocks {
-    /// The origin of the process's own clock.
+    /// The origin of the courier's clock, which is monotonic.
     pub started_at: Instant,
-    /// The wall clock, in nanoseconds since 1970. All times that this process records follow from it and from the
-    /// time since `started_at`: later steps of the wall clock have no effect.
+    /// The wall clock (`CLOCK_REALTIME`), in nanoseconds since the Unix epoch. A recorded time is
+    /// `wall` + (time since `started_at`), so that later steps of the wall clock have no effect.
     pub wall: Time,
-    /// How the recorded times relate to the monotonic clock, which all processes of a machine share.
+    /// The difference of the recorded times to `CLOCK_MONOTONIC`, which all processes of one boot share.
     pub reference: ClockReference,
 }
 
-/// A pair of readings of the monotonic clock.
+/// A pair of readings of the monotonic clock: as an [`Instant`], and as its number.
 struct MonotonicReading {
     instant: Instant,
+    /// `CLOCK_MONOTONIC`, in nanoseconds.
     monotonic: i64,
-    took: Duration,
+    /// Time from the first to the second reading.
+    duration: Duration,
 }
 
 impl StartClocks {
-    /// Reads the clocks. The process may be held up between two readings, so that the monotonic ones are
-    /// repeated until they are close together; the moment of the wall clock's reading does not matter.
+    /// Reads the clocks. The process may be preempted between two readings, so the monotonic pair is read up
+    /// to [`MAX_READINGS`] times, until its readings are at most [`MAX_READING_TIME`] apart. The moment at
+    /// which the wall clock is read does not matter, since recorded times are defined by that reading.
     pub fn read() -> StartClocks {
         let wall = wall_clock();
         let mut closest = MonotonicReading::take();
         for _ in 1..MAX_READINGS {
-            if closest.took <= MAX_READING_TIME {
+            if closest.duration <= MAX_READING_TIME {
                 break;
             }
             let reading = MonotonicReading::take();
-            if reading.took < closest.took {
+            if reading.duration < closest.duration {
                 closest = reading;
             }
         }
@@ -57,18 +60,18 @@
     fn take() -> MonotonicReading {
         let instant = Instant::now();
         let monotonic = clock_gettime(ClockId::Monotonic);
-        let took = instant.elapsed();
+        let duration = instant.elapsed();
         let monotonic = monotonic.tv_sec * 1_000_000_000 + monotonic.tv_nsec;
-        MonotonicReading { instant, monotonic, took }
+        MonotonicReading { instant, monotonic, duration }
     }
 }
 
-/// Reads the wall clock: nanoseconds since the Unix epoch.
+/// Reads the wall clock, in nanoseconds since the Unix epoch; 0 if it is set to an earlier time.
 pub fn wall_clock() -> Time {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as Time
 }
 
-/// Returns the digest of the machine's boot id; 0 if it cannot be read.
+/// Returns a hash of the machine's boot id; 0 if it cannot be read.
 fn boot_id() -> u64 {
     let Ok(id) = std::fs::read(BOOT_ID_FILE) else { return 0 };
     let mut hasher = DefaultHasher::new();
--- a/crates/platform/src/shell/environment.rs
+++ b/crates/platform/src/shell/environment.rs
@@ -24,22 +24,24 @@
 
 fn read_path(name: &str) -> anyhow::Result<PathBuf> {
     let value = std::env::var_os(name).filter(|value| !value.is_empty());
-    value.map(PathBuf::from).with_context(|| format!("{name} is not set; the platform sets it at start"))
+    value
+        .map(PathBuf::from)
+        .with_context(|| format!("{name} is not set; the platform sets it when it starts the courier"))
 }
 
-/// Why a configuration cannot be read.
+/// Why the configuration cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
-    #[error("{} cannot be read; RELAY_CONFIG names it: {error}", path.display())]
+    #[error("{} cannot be read (path from RELAY_CONFIG): {error}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the system.
         error: io::Error,
     },
     /// The content of the file is wrong.
-    #[error("{} cannot be used: {error:#}", path.display())]
+    #[error("{} is not a valid configuration: {error:#}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
@@ -49,7 +51,7 @@
 }
 
 impl ConfigError {
-    /// Whether the configuration can probably be read soon.
+    /// Whether a retry may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
     }
--- a/crates/platform/src/shell/journal.rs
+++ b/crates/platform/src/shell/journal.rs
@@ -1,5 +1,5 @@
-//! The journal writer: appends, replacement by a snapshot, and the state of the journal while it cannot be
-//! written.
+//! The journal writer: appends records, replaces a file that has grown by a snapshot of the core's state, and
+//! retries while the journal cannot be written.
 
 use super::clocks::wall_clock;
 use crate::core::{Core, MILLISECOND};
@@ -7,28 +7,32 @@
 use linnetcart::Time;
 use linnetcart_journal::{JournalDirectory, JournalError, Record as RawRecord, RecordRef, Salt};
 
-/// Fraction of the journal's capacity by which a file may grow before it is replaced by a snapshot.
+/// A file is replaced by a snapshot once it has grown by more than capacity / `GROWTH_DIVISOR` bytes.
 const GROWTH_DIVISOR: u64 = 4;
-/// A file's salt is the wall clock, rotated by this number of bits to spread its changing bits over the salt.
+/// A file's salt is the wall clock in nanoseconds, rotated left by this number of bits to spread its changing
+/// bits over the salt.
 const SALT_ROTATION_BITS: u32 = 17;
-/// Interval of the tries while the journal cannot be written. A try writes a whole file.
+/// Interval of the retries while the journal cannot be written, in nanoseconds. Each of them writes a whole
+/// snapshot.
 const RETRY_INTERVAL: Time = 50 * MILLISECOND;
-/// Interval of the tries to replace a file that has outgrown its limit, or to remove old files.
+/// Interval of the tries to replace a file that has grown beyond its limit, or to remove old files; in
+/// nanoseconds.
 const MAINTENANCE_INTERVAL: Time = 200 * MILLISECOND;
 
-/// The outcome of a write.
+/// The outcome of [`JournalWriter::write`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// All records are written.
     Written,
-    /// The records are not written, nor those of any later iteration until one is [`WriteOutcome::Written`].
+    /// The records are not written. Neither are those of later iterations, until a write returns
+    /// [`WriteOutcome::Written`].
     Failed,
 }
 
 /// Whether records can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriterState {
-    /// This process has not begun a file yet.
+    /// This process has not created a file yet.
     NotBegun,
     /// Records can be written.
     Writable,
@@ -36,19 +40,20 @@
     Failing { since: Time, retry_at: Time },
 }
 
-/// The journal, its growth and its state.
+/// Writes the journal, limits the growth of its files and retries failed writes.
 pub struct JournalWriter {
     directory: JournalDirectory,
     clock: ClockReference,
     state: WriterState,
-    /// The file's size when it was begun.
+    /// Size of the current file when it was created.
     base_bytes: u64,
     max_growth_bytes: u64,
+    /// Earliest time of the next replacement or removal of files.
     maintenance_at: Time,
 }
 
 impl JournalWriter {
-    /// Creates a writer that begins a new file with its first write.
+    /// Creates a writer whose first write creates a new file.
     pub fn new(directory: JournalDirectory, capacity_bytes: u64, clock: ClockReference) -> JournalWriter {
         JournalWriter {
             directory,
@@ -74,8 +79,8 @@
         }
     }
 
-    /// Writes the records of an iteration. While the journal fails, a paced try writes the core's whole state in
-    /// their place, which includes them.
+    /// Writes the records of one iteration. While writes fail, a retry every [`RETRY_INTERVAL`] writes a
+    /// snapshot of the core's state instead, which includes these records.
     pub fn write(&mut self, records: &[Record], core: &Core, now: Time) -> WriteOutcome {
         let result = match self.state {
             WriterState::Writable if records.is_empty() => Ok(()),
@@ -84,12 +89,12 @@
             WriterState::NotBegun | WriterState::Failing { .. } => self.write_snapshot(core),
         };
         match result {
-            Ok(()) => self.succeeded(core, now),
-            Err(error) => self.failed(&error, now),
+            Ok(()) => self.handle_success(core, now),
+            Err(error) => self.handle_failure(&error, now),
         }
     }
 
-    fn succeeded(&mut self, core: &Core, now: Time) -> WriteOutcome {
+    fn handle_success(&mut self, core: &Core, now: Time) -> WriteOutcome {
         if let WriterState::Failing { since, .. } = self.state {
             let failed_for_ms = (now - since) / MILLISECOND;
             tracing::info!(failed_for_ms, "journal writable");
@@ -99,8 +104,8 @@
         WriteOutcome::Written
     }
 
-    /// One log line tells of the change; further errors of the same failure are not logged.
-    fn failed(&mut self, error: &JournalError, now: Time) -> WriteOutcome {
+    /// Schedules a retry. Only the first of consecutive failures is logged.
+    fn handle_failure(&mut self, error: &JournalError, now: Time) -> WriteOutcome {
         let since = match self.state {
             WriterState::Failing { since, .. } => since,
             WriterState::NotBegun | WriterState::Writable => {
@@ -117,7 +122,7 @@
         self.directory.append(encoded.iter().map(record_ref))
     }
 
-    /// Writes the core's state: to a new file or, if none can be begun, to the present one.
+    /// Writes a snapshot of the core's state to a new file or, if none can be created, to the current one.
     fn write_snapshot(&mut self, core: &Core) -> Result<(), JournalError> {
         let snapshot = self.snapshot(core);
         let replaced = self.directory.replace(new_salt(), snapshot.iter().map(record_ref));
@@ -129,8 +134,8 @@
         Ok(())
     }
 
-    /// Replaces a file that has outgrown its limit, and removes old files. A failure leaves the present file in
-    /// use, and is tried again.
+    /// Replaces a file that has grown beyond its limit, and removes old files. After a failure, the current
+    /// file stays in use, and the next try follows after [`MAINTENANCE_INTERVAL`].
     fn maintain(&mut self, core: &Core, now: Time) {
         let has_outgrown = self.directory.size() > self.base_bytes + self.max_growth_bytes;
         if now < self.maintenance_at || !(has_outgrown || self.directory.has_old_files()) {
@@ -147,7 +152,7 @@
                 self.base_bytes = self.directory.size();
                 self.maintenance_at = now;
             }
-            Err(error) => tracing::debug!(%error, "journal file not replaced, the present one grows on"),
+            Err(error) => tracing::debug!(%error, "journal file not replaced, the current one stays in use"),
         }
     }
 
--- a/crates/platform/src/shell/log.rs
+++ b/crates/platform/src/shell/log.rs
@@ -1,4 +1,4 @@
-//! The log: the core's events, limited in their rate, and periodic statistics.
+//! The log of the core: its events, limited in their rate, and periodic statistics.
 
 use crate::core::{Core, CoreEvent, MILLISECOND};
 use linnetcart::Time;
@@ -7,14 +7,16 @@
 const SECOND: Time = 1000 * MILLISECOND;
 /// Maximum number of events that are logged in a second; further ones are dropped.
 const MAX_EVENTS_PER_SECOND: u32 = 20;
-/// Interval of the statistics.
+/// Interval of the statistics, in nanoseconds.
 const STATISTICS_INTERVAL: Time = 10 * SECOND;
 
 /// The state of the rate limit and of the statistics.
 #[derive(Debug, Default)]
 pub struct CoreLog {
+    /// The second, on the courier's clock, that `events_in_second` counts.
     second: Time,
     events_in_second: u32,
+    /// When the statistics are logged next.
     next_statistics: Time,
 }
 
--- a/crates/platform/src/shell/startup.rs
+++ b/crates/platform/src/shell/startup.rs
@@ -1,7 +1,7 @@
 //! Startup: configuration, journal, core and listener, in the order in which they depend on each other.
 //!
-//! A step that fails for a reason that may be over soon is tried again. The program exits only where the
-//! configuration itself is wrong.
+//! A step that fails with a transient error is retried. The program exits only if the configuration is
+//! invalid, or the state directory or the listen address cannot be used.
 
 mod waiting;
 
@@ -22,57 +22,59 @@
 use std::io;
 use std::path::Path;
 use std::time::Instant;
-use waiting::{retry, Retries, Waited};
+use waiting::{retry, RetryOutcome, StartupSignals};
 
-/// Bytes that are read from a connection at once, and how often it is read in one poll. A client that floods
-/// one connection must not delay the others.
+/// Maximum number of bytes of one read. With [`READS_PER_POLL`], one poll reads at most 32 KiB from a
+/// connection, so that a client that floods one connection does not delay the others.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum number of reads from one connection in one poll.
 const READS_PER_POLL: usize = 2;
-/// File descriptors that the event loop does not use for connections.
+/// Number of file descriptors that are not available to connections: those of the event loop, the listener,
+/// the journal and the configuration.
 const RESERVED_FILE_DESCRIPTORS: usize = 16;
 
-/// The result of a startup.
+/// The outcome of the startup.
 pub(super) enum Startup {
     /// The courier listens for clients.
     Ready(Box<Shell>),
-    /// A termination signal arrived before that.
+    /// A termination signal arrived before the courier listened.
     Terminated,
 }
 
-/// The journal of the previous process.
+/// The replayed journal of the previous process.
 struct ReplayedJournal {
-    /// The directory to which this process writes.
+    /// The journal's directory, for this process's records.
     directory: JournalDirectory,
-    /// The state that the records add up to.
+    /// The state that the records lead to.
     replay: Replay,
 }
 
-/// Starts the courier: when this returns a shell, it listens for clients.
+/// Starts the courier. When this returns [`Startup::Ready`], the courier listens for clients.
 pub(super) fn start(environment: Environment) -> anyhow::Result<Startup> {
     let mut net = create_event_loop()?;
-    let mut waited = Waited::default();
+    let mut signals = StartupSignals::default();
     let path = &environment.config;
     let read = |_: &mut Net| read_config(path);
-    let Retries::Done(config) = retry(&mut net, &mut waited, read, ConfigError::is_transient)? else {
+    let RetryOutcome::Done(config) = retry(&mut net, &mut signals, read, ConfigError::is_transient)? else {
         return Ok(Startup::Terminated);
     };
     let clocks = StartClocks::read();
     let state = environment.state.display();
     let replay = |_: &mut Net| replay_journal(&environment.state, &config, clocks.reference);
-    let replayed = retry(&mut net, &mut waited, replay, JournalError::is_transient)
-        .with_context(|| format!("the journal in {state} cannot be read; RELAY_STATE names the folder"))?;
-    let Retries::Done(ReplayedJournal { directory, replay }) = replayed else {
+    let replayed = retry(&mut net, &mut signals, replay, JournalError::is_transient)
+        .with_context(|| format!("the journal in {state} cannot be read (directory from RELAY_STATE)"))?;
+    let RetryOutcome::Done(ReplayedJournal { directory, replay }) = replayed else {
         return Ok(Startup::Terminated);
     };
     configure_limits(&mut net, &config);
     let listen = config.listen;
     let mut journal = JournalWriter::new(directory, config.limits.disk_bytes(), clocks.reference);
     let mut core = Core::new(config, replay, CLOCK_START, clocks.wall);
-    // A new file is begun before the first client connects.
+    // The first write creates a new file, before the first client connects.
     write_records(&mut core, &mut journal, clocks.started_at);
-    let listened = retry(&mut net, &mut waited, |net| net.listen(listen), is_transient)
-        .with_context(|| format!("cannot listen on {listen}; RELAY_CONFIG names it"))?;
-    let Retries::Done(listener) = listened else { return Ok(Startup::Terminated) };
+    let listened = retry(&mut net, &mut signals, |net| net.listen(listen), is_transient)
+        .with_context(|| format!("cannot listen on {listen} (`listen` in the file of RELAY_CONFIG)"))?;
+    let RetryOutcome::Done(listener) = listened else { return Ok(Startup::Terminated) };
     tracing::info!(%listen, "ready");
     Ok(Startup::Ready(Box::new(Shell {
         net,
@@ -84,19 +86,19 @@
         upstream: UpstreamTokens::default(),
         started_at: clocks.started_at,
         environment,
-        config_retry_at: waited.reload_requested.then_some(CLOCK_START),
+        config_retry_at: signals.reload_requested.then_some(CLOCK_START),
     })))
 }
 
-/// Creates the event loop. Signals that arrive from then on are queued and do not kill the process.
+/// Creates the event loop. From then on, signals are reported as events and do not kill the process.
 fn create_event_loop() -> anyhow::Result<Net> {
-    let signals = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
+    let watched = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
     let create = || -> io::Result<Net> {
         let mut net = Net::new(0)?;
-        net.watch_signals(&signals)?;
+        net.watch_signals(&watched)?;
         Ok(net)
     };
-    retry_momentary(create).context("the event loop cannot be made")
+    retry_momentary(create).context("the event loop cannot be created")
 }
 
 fn configure_limits(net: &mut Net, config: &Config) {
--- a/crates/platform/src/shell/upstream_tokens.rs
+++ b/crates/platform/src/shell/upstream_tokens.rs
@@ -35,7 +35,7 @@
         Some(token)
     }
 
-    /// Removes a connection by its token, if it is an upstream connection.
+    /// Removes a connection by its token; does nothing if it is not an upstream connection.
     pub fn remove_token(&mut self, token: Token) {
         if let Some(id) = self.ids.remove(&token) {
             self.tokens.remove(&id);
