--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -1,30 +1,32 @@
-//! Decoding of chunked bodies (`Transfer-Encoding: chunked`).
+//! Decoding of the chunked transfer coding (`Transfer-Encoding: chunked`, RFC 9112, section 7.1).
 
-/// Maximum number of bytes of a chunk's size line.
+/// Maximum number of bytes of an incomplete chunk size line, including extensions.
 const MAX_SIZE_LINE_BYTES: usize = 64;
 /// Maximum number of hexadecimal digits of a chunk size.
 const MAX_SIZE_DIGITS: usize = 8;
-/// Number of bytes of the line end after a chunk's data.
+/// Number of bytes of the CRLF after a chunk's data.
 const LINE_END_BYTES: usize = 2;
 
-/// A body that is not validly chunked, or a size line that is too long.
+/// A malformed chunked body, or a chunk size line that is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the body does not come in chunks as it should")]
+#[error("the chunked body is malformed, or has a chunk size line that is too long")]
 pub struct InvalidChunk;
 
 /// Decodes a chunked body incrementally. It buffers at most one incomplete size line.
 #[derive(Debug, Default)]
 pub struct ChunkedDecoder {
+    /// The last bytes received, which are not decoded yet: an incomplete size line.
     undecoded: Vec<u8>,
-    /// Number of bytes of the current chunk, including its line end, that are not decoded; `None` before a
-    /// size line.
+    /// Number of bytes of the current chunk, including its CRLF, that are not decoded; `None` before a size
+    /// line.
     chunk_remaining: Option<usize>,
+    /// The size line of the last chunk (size 0) is decoded.
     finished: bool,
 }
 
 impl ChunkedDecoder {
-    /// Decodes received bytes and appends the body's bytes in them to `out`. Returns `true` once the body is
-    /// complete.
+    /// Decodes received bytes and appends the data of the chunks to `out`. Returns `true` once the size line
+    /// of the last chunk (size 0) has arrived; trailers are not read.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<bool, InvalidChunk> {
         self.undecoded.extend_from_slice(bytes);
         let mut position = 0;
@@ -42,7 +44,7 @@
         Ok(self.finished)
     }
 
-    /// Reads a size line and returns its length, or 0 while it is incomplete.
+    /// Reads a size line and returns its length in bytes, or 0 while it is incomplete.
     fn begin_chunk(&mut self, position: usize) -> Result<usize, InvalidChunk> {
         let line = &self.undecoded[position..];
         let Some(line_end) = line.iter().position(|&byte| byte == b'\n') else {
@@ -54,7 +56,8 @@
         Ok(line_end + 1)
     }
 
-    /// Copies the available bytes of the current chunk and returns the number of bytes consumed.
+    /// Appends the available data of the current chunk to `out`. Returns the number of bytes consumed,
+    /// including those of the CRLF.
     fn copy_chunk(&mut self, position: usize, remaining: usize, out: &mut Vec<u8>) -> usize {
         let consumed = remaining.min(self.undecoded.len() - position);
         let data = consumed.min(remaining.saturating_sub(LINE_END_BYTES));
@@ -64,7 +67,7 @@
     }
 }
 
-/// Returns the size in a size line. Extensions after a semicolon are ignored.
+/// Returns the size in a size line, a hexadecimal number. Chunk extensions after a semicolon are ignored.
 fn parse_size_line(line: &[u8]) -> Result<usize, InvalidChunk> {
     let line = line.trim_ascii();
     let digits = line.split(|&byte| byte == b';').next().unwrap_or(line).trim_ascii();
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -3,11 +3,11 @@
 use crate::parse_decimal;
 use std::ops::Range;
 
-/// Name of the field for the length of the body.
+/// Name of the field with the length of the body in bytes.
 const CONTENT_LENGTH: &str = "content-length";
-/// Name of the field for the encoding of a body of unknown length.
+/// Name of the field with the transfer codings of the body, such as `chunked`.
 const TRANSFER_ENCODING: &str = "transfer-encoding";
-/// Name of the field for options of the connection.
+/// Name of the field with the connection options.
 const CONNECTION: &str = "connection";
 /// Value of [`CONNECTION`] by which the sender closes the connection after the message.
 const CLOSE: &[u8] = b"close";
@@ -22,7 +22,7 @@
     value: Range<usize>,
 }
 
-/// Header fields in their order, as positions in the bytes that the head was read from.
+/// Header fields in the order of the head, as positions in the bytes that the head was parsed from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Fields(Vec<FieldRange>);
 
@@ -36,7 +36,7 @@
         Fields(headers.iter().map(range).collect())
     }
 
-    /// Returns the values of all fields of this name, without surrounding white space.
+    /// Returns the values of all fields of this name (in any case), without surrounding white space.
     pub(crate) fn values<'a>(
         &'a self,
         bytes: &'a [u8],
@@ -49,8 +49,8 @@
         self.0.iter().filter(has_name).map(|field| bytes[field.value.clone()].trim_ascii())
     }
 
-    /// Returns the length of the body, if it is given. An invalid length is an error as soon as the head is
-    /// complete, so that no reader waits for a body that never comes.
+    /// Returns the value of `Content-Length`, or `None` without the field. An invalid value is an error as
+    /// soon as the head is complete, so that no reader waits for a body that never arrives.
     pub(crate) fn content_length(&self, bytes: &[u8]) -> Result<Option<u64>, InvalidContentLength> {
         let mut values = self.values(bytes, CONTENT_LENGTH);
         let Some(value) = values.next() else { return Ok(None) };
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the position of `part`, which must be a subslice of `bytes`.
+/// Returns the position of `part` in `bytes`, of which it must be a subslice.
 pub(crate) fn range_within(bytes: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - bytes.as_ptr() as usize;
     start..start + part.len()
--- a/crates/http/src/limits.rs
+++ b/crates/http/src/limits.rs
@@ -1,17 +1,16 @@
-//! Size limits, and the only accepted form of numbers.
+//! Size limits, and the parser of decimal numbers in heads.
 
-/// Maximum number of bytes of a head.
+/// Maximum number of bytes of a head: the request or status line and the header fields.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of header fields of a head.
 pub const MAX_HEADER_FIELDS: usize = 64;
 /// Maximum number of bytes of a body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Maximum number of decimal digits; every such number fits into 64 bits.
+/// Maximum number of decimal digits of a number: 10^18 - 1 fits into 64 bits.
 const MAX_DECIMAL_DIGITS: usize = 18;
 
-/// Reads a number that consists of decimal digits only. Returns `None` for anything else and for more than 18
-/// digits.
+/// Parses a number of 1 to 18 decimal digits. Returns `None` for anything else, such as a sign or a space.
 pub fn parse_decimal(value: &[u8]) -> Option<u64> {
     if value.is_empty() || value.len() > MAX_DECIMAL_DIGITS {
         return None;
--- a/crates/http/src/persistence.rs
+++ b/crates/http/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Whether a connection stays open after a message.
+//! Persistence of connections: whether a connection stays open after a message (RFC 9112, section 9.3).
 
 use crate::fields::Fields;
 
@@ -15,8 +15,8 @@
 }
 
 impl Persistence {
-    /// Returns the persistence after a message. HTTP/1.0 closes the connection after each message, HTTP/1.1
-    /// only after one with `Connection: close`.
+    /// Returns the persistence after a message. A message of HTTP/1.0 ends the connection, one of HTTP/1.1
+    /// only with `Connection: close`.
     pub(crate) fn after_message(minor_version: Option<u8>, fields: &Fields, bytes: &[u8]) -> Persistence {
         if minor_version == HTTP_1_0_MINOR_VERSION || fields.has_connection_close(bytes) {
             Persistence::Close
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,37 +1,37 @@
-//! Requests, as a server reads them.
+//! Parsing of requests by a server.
 
 use crate::fields::{range_within, Fields, InvalidContentLength};
 use crate::{Persistence, MAX_BODY_BYTES, MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
 use std::ops::Range;
 
-/// Why bytes are not a request. The connection has to end, because the start of the next request is unknown.
+/// Why a request is rejected. The connection has to end, because the start of the next request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The head cannot be read.
+    /// The head is malformed.
     #[error("the head cannot be read as HTTP/1.1")]
     Unreadable,
     /// The head is too long or has too many header fields.
     #[error("a head has at most {MAX_HEAD_BYTES} bytes and {MAX_HEADER_FIELDS} fields")]
     HeadTooLong,
-    /// The length is not one decimal number, or is given more than once.
+    /// `Content-Length` is not one decimal number, or is given more than once.
     #[error("Content-Length is one decimal number, given once")]
     BadLength,
-    /// The body is too long.
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("a body has at most {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
     /// The request has a `Transfer-Encoding` field; only bodies of known length are accepted.
     #[error("send the body with a Content-Length and no Transfer-Encoding")]
-    Encoded,
+    TransferEncoding,
 }
 
 impl RequestError {
-    /// Returns the status code of the response.
+    /// Returns the HTTP status code of the response to the request.
     pub fn status(self) -> u16 {
         match self {
             RequestError::Unreadable | RequestError::BadLength => 400,
             RequestError::HeadTooLong => 431,
             RequestError::BodyTooLong => 413,
-            RequestError::Encoded => 411,
+            RequestError::TransferEncoding => 411,
         }
     }
 }
@@ -42,9 +42,9 @@
     }
 }
 
-/// A header field that may be given once is repeated.
+/// A header field that may occur once is repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the field stands there more than once")]
+#[error("the header field occurs more than once")]
 pub struct DuplicateField;
 
 /// A complete request. It borrows the bytes that it was read from.
@@ -65,7 +65,7 @@
         &self.bytes[self.method.clone()]
     }
 
-    /// Returns the path without the query.
+    /// Returns the request target without the query.
     pub fn path(&self) -> &'a [u8] {
         let target = &self.bytes[self.target.clone()];
         target.split(|&byte| byte == b'?').next().unwrap_or(target)
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the number of bytes of the request, head and body.
+    /// Returns the length of the request in bytes, head and body.
     pub fn length(&self) -> usize {
         self.body.end
     }
@@ -132,7 +132,7 @@
 
 fn body_length(fields: &Fields, bytes: &[u8]) -> Result<usize, RequestError> {
     if fields.has_transfer_encoding(bytes) {
-        return Err(RequestError::Encoded);
+        return Err(RequestError::TransferEncoding);
     }
     let length = fields.content_length(bytes)?.unwrap_or(0);
     if length > MAX_BODY_BYTES as u64 {
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses: heads as a client reads them, and complete responses as a server writes them.
+//! Responses: parsing of heads by a client, and encoding of complete responses by a server.
 
 use crate::fields::Fields;
 use crate::{parse_decimal, Persistence, MAX_BODY_BYTES, MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
@@ -11,29 +11,29 @@
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 
-/// The status of a response whose head is not complete or not valid.
+/// The status of a response whose head is not complete or is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlyStatus {
-    /// The status line is complete and reads 200.
+    /// The status line is complete, with status 200.
     Ok,
-    /// The status line is not complete, malformed or reads another status.
+    /// The status line is incomplete or malformed, or has another status.
     Other,
 }
 
-/// The response at the start of some bytes.
+/// The outcome of parsing the response at the start of some bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedResponse {
     /// More bytes are needed.
     Incomplete {
-        /// What the bytes say of the status.
+        /// The status in the status line, if that is complete.
         status: EarlyStatus,
     },
     /// The bytes cannot become a valid response.
     Malformed {
-        /// What the bytes say of the status.
+        /// The status in the status line, if that is complete and valid.
         status: EarlyStatus,
     },
-    /// The head is complete.
+    /// The head is complete and valid.
     Head(ResponseHead),
 }
 
@@ -66,7 +66,7 @@
         self.fields.iter().find(has_name).map(|field| &field.value[..])
     }
 
-    /// Whether another response follows this one. The final response of an upgrade is not interim.
+    /// Whether another response follows this one. 101 (Switching Protocols) is final, although it is 1xx.
     fn is_interim(&self) -> bool {
         is_informational(self.status) && self.status != SWITCHING_PROTOCOLS
     }
@@ -131,7 +131,7 @@
     }
 }
 
-/// Reads the status line at the start of these bytes. Returns `None` if no response begins like this.
+/// Parses the status line at the start of these bytes. Returns `None` if no response can start with them.
 fn parse_status_line(bytes: &[u8]) -> Option<StatusLine> {
     match bytes.iter().position(|&byte| byte == b'\n') {
         Some(end) => parse_status_code(&bytes[..end]).map(|status| StatusLine::Complete { status }),
@@ -139,7 +139,7 @@
     }
 }
 
-/// Derives the properties of a parsed head. Returns `None` if its content length is invalid.
+/// Converts a parsed head. Returns `None` if its `Content-Length` is invalid.
 fn read_head(head: &httparse::Response<'_, '_>, length: usize, bytes: &[u8]) -> Option<ResponseHead> {
     let status = head.code.unwrap_or(0);
     let fields = Fields::new(bytes, head.headers);
@@ -180,7 +180,7 @@
     bytes[..compared] == STATUS_LINE_START[..compared] && bytes.len() <= MAX_HEAD_BYTES
 }
 
-/// Reads the status code of a complete status line.
+/// Returns the status code in a complete status line, or `None` if the line is malformed.
 fn parse_status_code(line: &[u8]) -> Option<u16> {
     let rest = line.strip_prefix(STATUS_LINE_START)?;
     let (minor_version, rest) = rest.split_first()?;
@@ -215,7 +215,7 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Returns the reason phrase of a status code; that of 500 for a code that no server of this project sends.
+/// Returns the reason phrase of a status code. A code that no server of this project sends gets that of 500.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Requests, responses and chunked bodies, cut at every byte and against arbitrary bytes.
+//! Parsing of requests, responses and chunked bodies: cut at any byte, ambiguous, malformed, arbitrary.
 
 use linnetcart_http::{
     parse_request, parse_response, ChunkedDecoder, EarlyStatus, ParsedResponse, Persistence, RequestError,
@@ -26,9 +26,9 @@
 fn request_with_ambiguous_framing_rejected_before_its_body() {
     let head = |fields: &str| format!("POST /a HTTP/1.1\r\n{fields}\r\n\r\n").into_bytes();
     let rejection = |fields: &str| parse_request(&head(fields)).unwrap_err();
-    assert_eq!(rejection("Content-Length: 5\r\nTransfer-Encoding: chunked"), RequestError::Encoded);
+    assert_eq!(rejection("Content-Length: 5\r\nTransfer-Encoding: chunked"), RequestError::TransferEncoding);
     assert_eq!(rejection("Transfer-Encoding : chunked"), RequestError::Unreadable);
-    assert_eq!(rejection("transfer-encoding: identity"), RequestError::Encoded);
+    assert_eq!(rejection("transfer-encoding: identity"), RequestError::TransferEncoding);
     for length in ["-1", "+1", "1, 1", "0x3", "1 1", "", "99999999999999999999", "1e3"] {
         assert_eq!(rejection(&format!("Content-Length: {length}")), RequestError::BadLength, "{length}");
     }
--- a/crates/platform/src/core/admission/tests.rs
+++ b/crates/platform/src/core/admission/tests.rs
@@ -82,7 +82,7 @@
     for (error, status, body) in [
         (RequestError::Malformed(HttpError::Unreadable), 400, "the head cannot be read as HTTP/1.1\n"),
         (
-            RequestError::Malformed(HttpError::Encoded),
+            RequestError::Malformed(HttpError::TransferEncoding),
             411,
             "send the body with a Content-Length and no Transfer-Encoding\n",
         ),
