--- a/crates/fault-injection/build.rs
+++ b/crates/fault-injection/build.rs
@@ -16,7 +16,9 @@
         .arg(&library)
         .args([SOURCE, "-ldl"])
         .status()
-        .unwrap_or_else(|error| panic!("the C compiler {compiler} cannot be run; set CC: {error}"));
-    assert!(status.success(), "{SOURCE} cannot be compiled");
+        .unwrap_or_else(|error| {
+            panic!("the C compiler {compiler} (set by CC, or cc) cannot be run: {error}")
+        });
+    assert!(status.success(), "{compiler} failed to compile {SOURCE}");
     println!("cargo:rustc-env=FAULT_SHIM={}", library.display());
 }
--- a/crates/fault-injection/shim/fault_shim.c
+++ b/crates/fault-injection/shim/fault_shim.c
@@ -1,14 +1,17 @@
 /*
- * Fault injection for one process: fails system calls of the program that it is preloaded into.
+ * Fault injection for one process: fails system calls of the program that it is preloaded into (LD_PRELOAD).
  *
- * The library replaces functions of the C library by ones that sometimes fail, as Linux documents it, and
- * otherwise call the original. It is for tests only. Which faults are active comes from one of two sources:
+ * The library interposes functions of the C library. A replacement either fails with an error that Linux
+ * documents for the call, or calls the original. It is for tests only. One of two sources sets the faults:
  *
  *   FAULT_CONTROL  a file of `struct control`, mapped into memory; a test changes it while the program runs
- *   FAULT_PLAN     a schedule, as in `seed=7;journal_write=255@0+1200/3000;send_interrupted=40`: name, rate of
- *                  255, and optionally start, length and period of a window in milliseconds since the start
+ *   FAULT_PLAN     a schedule of items NAME=RATE[@START[+LENGTH[/PERIOD]]], separated by semicolons, as in
+ *                  `seed=7;journal_write=255@0+1200/3000;send_interrupted=40`. A call fails with probability
+ *                  RATE / 255, inside a window given in milliseconds since the start of the process. NAME is
+ *                  a fault (see fault_names), or one of these: seed; wall_offset_ms, the wall clock's
+ *                  difference to the real one; wall_step_ms, a further difference inside the window.
  *
- * Faults of files concern the files below the directory FAULT_DIRECTORY.
+ * Faults of files affect the files below FAULT_DIRECTORY, or RELAY_STATE if that is not set.
  */
 #define _GNU_SOURCE
 #include <dirent.h>
@@ -28,15 +31,16 @@
 #include <time.h>
 #include <unistd.h>
 
+/* The order is that of `Fault` in src/lib.rs. */
 enum fault {
-    JOURNAL_WRITE,       /* write of a file fails */
-    JOURNAL_SHORT_WRITE, /* write of a file takes a part, the next one fails */
-    JOURNAL_KILL,        /* the process is killed after a part of a write */
-    JOURNAL_CREATE,      /* open of a file for writing fails */
-    JOURNAL_TRUNCATE,
-    JOURNAL_REMOVE,
-    JOURNAL_READ,        /* open or read of a file for reading fails */
-    JOURNAL_LIST,
+    FILE_WRITE,          /* write to a file */
+    FILE_SHORT_WRITE,    /* write to a file writes a part of the bytes, the next one fails */
+    KILL_IN_FILE_WRITE,  /* SIGKILL after a write to a file has written a part of the bytes or all */
+    FILE_CREATE,         /* open of a file for writing */
+    FILE_TRUNCATE,       /* ftruncate */
+    FILE_REMOVE,         /* unlink */
+    FILE_READ,           /* open of a file for reading, and read */
+    DIRECTORY_LIST,      /* opendir */
     SEND_INTERRUPTED,
     SEND_SHORT,
     SEND_NO_BUFFERS,
@@ -46,17 +50,18 @@
     ACCEPT,
     SOCKET,
     CONNECT,
-    CONNECT_INTERRUPTED, /* connect returns EINTR and goes on in the kernel */
+    CONNECT_INTERRUPTED, /* connect returns EINTR, and the kernel continues to connect */
     SOCKET_STATUS,       /* getsockopt and getpeername */
-    SOCKET_OPTION,       /* setsockopt, fcntl and ioctl of a socket */
-    WAIT_INTERRUPTED,
-    REGISTER,            /* epoll_ctl of a new descriptor */
-    REGISTER_AGAIN,      /* epoll_ctl of a registered descriptor */
-    STANDSTILL,          /* the process stands still for up to 150 ms after it has read the clock */
-    LOG_WRITE,           /* write to standard error fails */
+    SOCKET_OPTION,       /* setsockopt and ioctl */
+    WAIT_INTERRUPTED,    /* epoll_wait and epoll_pwait2 */
+    REGISTER,            /* epoll_ctl with EPOLL_CTL_ADD */
+    REGISTER_AGAIN,      /* epoll_ctl with EPOLL_CTL_MOD */
+    STANDSTILL,          /* the process stalls for up to 150 ms after it has read the monotonic clock */
+    LOG_WRITE,           /* write to standard error */
     FAULT_COUNT
 };
 
+/* Names of the faults in FAULT_PLAN. */
 static const char *const fault_names[FAULT_COUNT] = {
     "journal_write", "journal_short_write", "journal_kill", "journal_create", "journal_truncate",
     "journal_remove", "journal_read", "journal_list", "send_interrupted", "send_short", "send_no_buffers",
@@ -68,7 +73,8 @@
 #define MAX_RATE 255
 #define MAX_FDS 65536
 #define MAX_STANDSTILL_MS 150
-/* Of the standstills that are drawn, one in this many happens: the clock is read several times in an iteration. */
+/* A stall follows a reading of the clock with probability rate / 255 / STANDSTILL_DIVISOR, since an iteration
+ * of the program's event loop reads the clock several times. */
 #define STANDSTILL_DIVISOR 16
 #define MS_PER_S 1000
 #define NS_PER_MS 1000000
@@ -82,22 +88,24 @@
     uint64_t injected[FAULT_COUNT];
 };
 
+/* The time in which a fault is active. */
 struct window {
-    int64_t start_ms;
-    int64_t length_ms; /* 0 for no end */
+    int64_t start_ms; /* since the start of the process */
+    int64_t length_ms; /* 0 for a window without end */
     int64_t period_ms; /* 0 for a window that does not repeat */
 };
 
-static struct control own_control;
-static struct control *control = &own_control;
+static struct control local_control;
+static struct control *control = &local_control;
 static struct window windows[FAULT_COUNT];
 static struct window wall_window;
+/* Step of the wall clock within wall_window, from FAULT_PLAN. */
 static int64_t planned_wall_step_ms;
 static uint64_t random_state;
 static int64_t started_ms;
 static const char *directory;
-/* Descriptors of files below the directory, and those whose next write fails. */
-static unsigned char is_journal_file[MAX_FDS];
+/* Whether a descriptor is of a file below the directory, and whether the next write to it fails. */
+static unsigned char is_tracked_file[MAX_FDS];
 static unsigned char next_write_fails[MAX_FDS];
 
 #define ORIGINAL(name) \
@@ -115,8 +123,8 @@
     return (int64_t)now.tv_sec * MS_PER_S + now.tv_nsec / NS_PER_MS;
 }
 
-/* The generator splitmix64. */
-static uint64_t draw(void) {
+/* Returns the next random number, by the generator SplitMix64. */
+static uint64_t next_random(void) {
     uint64_t z = __atomic_add_fetch(&random_state, 0x9e3779b97f4a7c15u, __ATOMIC_RELAXED);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
@@ -130,17 +138,18 @@
     return window->length_ms == 0 || since < window->length_ms;
 }
 
-static int is_due(enum fault fault) {
+/* Whether a fault is to be injected into the present call. Counts the injected faults. */
+static int should_inject(enum fault fault) {
     uint8_t rate = __atomic_load_n(&control->rates[fault], __ATOMIC_RELAXED);
     if (rate == 0 || !in_window(&windows[fault])) return 0;
-    if (rate != MAX_RATE && draw() % MAX_RATE >= rate) return 0;
+    if (rate != MAX_RATE && next_random() % MAX_RATE >= rate) return 0;
     __atomic_add_fetch(&control->injected[fault], 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-/* Sets errno to one of these errors. */
+/* Sets errno to one of these errors, at random, and returns -1. */
 static int fail_with(const int *errors, size_t count) {
-    errno = errors[draw() % count];
+    errno = errors[next_random() % count];
     return -1;
 }
 #define FAIL(...) fail_with((const int[]){__VA_ARGS__}, sizeof((int[]){__VA_ARGS__}) / sizeof(int))
@@ -152,15 +161,15 @@
         long long value = 0, start = 0, length = 0, period = 0;
         if (sscanf(item, "%63[^=]=%lld@%lld+%lld/%lld", name, &value, &start, &length, &period) < 2) continue;
         struct window window = {start, length, period};
-        if (strcmp(name, "seed") == 0) own_control.seed = (uint64_t)value;
-        if (strcmp(name, "wall_offset_ms") == 0) own_control.wall_offset_ms = value;
+        if (strcmp(name, "seed") == 0) local_control.seed = (uint64_t)value;
+        if (strcmp(name, "wall_offset_ms") == 0) local_control.wall_offset_ms = value;
         if (strcmp(name, "wall_step_ms") == 0) {
             planned_wall_step_ms = value;
             wall_window = window;
         }
         for (int fault = 0; fault < FAULT_COUNT; fault++) {
             if (strcmp(name, fault_names[fault]) == 0) {
-                own_control.rates[fault] = (uint8_t)value;
+                local_control.rates[fault] = (uint8_t)value;
                 windows[fault] = window;
             }
         }
@@ -168,7 +177,7 @@
     free(copy);
 }
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void initialize(void) {
     started_ms = monotonic_ms();
     directory = getenv("FAULT_DIRECTORY");
     if (!directory) directory = getenv("RELAY_STATE");
@@ -197,8 +206,8 @@
         out->tv_sec = total / ((int64_t)MS_PER_S * NS_PER_MS);
         out->tv_nsec = total % ((int64_t)MS_PER_S * NS_PER_MS);
     }
-    if (id == CLOCK_MONOTONIC && draw() % STANDSTILL_DIVISOR == 0 && is_due(STANDSTILL)) {
-        struct timespec pause = {0, (long)(draw() % MAX_STANDSTILL_MS) * NS_PER_MS};
+    if (id == CLOCK_MONOTONIC && next_random() % STANDSTILL_DIVISOR == 0 && should_inject(STANDSTILL)) {
+        struct timespec pause = {0, (long)(next_random() % MAX_STANDSTILL_MS) * NS_PER_MS};
         nanosleep(&pause, NULL);
     }
     return result;
@@ -206,7 +215,7 @@
 
 /* ---- Files */
 
-static int is_tracked(int fd) { return fd >= 0 && fd < MAX_FDS && is_journal_file[fd]; }
+static int is_tracked(int fd) { return fd >= 0 && fd < MAX_FDS && is_tracked_file[fd]; }
 
 static int is_below_directory(const char *path) {
     return directory && strncmp(path, directory, strlen(directory)) == 0;
@@ -215,11 +224,13 @@
 static int open_file(int (*original)(const char *, int, ...), const char *path, int flags, mode_t mode) {
     int tracked = is_below_directory(path) && !(flags & O_DIRECTORY);
     int writes = (flags & O_ACCMODE) != O_RDONLY;
-    if (tracked && writes && is_due(JOURNAL_CREATE)) return FAIL(ENOSPC, EIO, EDQUOT, EMFILE, ENFILE, ENOMEM);
-    if (tracked && !writes && is_due(JOURNAL_READ)) return FAIL(EIO, EMFILE, ENFILE, ENOMEM);
+    if (tracked && writes && should_inject(FILE_CREATE)) {
+        return FAIL(ENOSPC, EIO, EDQUOT, EMFILE, ENFILE, ENOMEM);
+    }
+    if (tracked && !writes && should_inject(FILE_READ)) return FAIL(EIO, EMFILE, ENFILE, ENOMEM);
     int fd = original(path, flags, mode);
     if (fd >= 0 && fd < MAX_FDS) {
-        is_journal_file[fd] = (unsigned char)tracked;
+        is_tracked_file[fd] = (unsigned char)tracked;
         next_write_fails[fd] = 0;
     }
     return fd;
@@ -249,25 +260,25 @@
 
 int close(int fd) {
     ORIGINAL(close);
-    if (fd >= 0 && fd < MAX_FDS) is_journal_file[fd] = next_write_fails[fd] = 0;
+    if (fd >= 0 && fd < MAX_FDS) is_tracked_file[fd] = next_write_fails[fd] = 0;
     return original(fd);
 }
 
 ssize_t write(int fd, const void *bytes, size_t length) {
     ORIGINAL(write);
-    if (fd == STDERR_FILENO && is_due(LOG_WRITE)) return FAIL(ENOSPC, EIO, EAGAIN, EPIPE);
+    if (fd == STDERR_FILENO && should_inject(LOG_WRITE)) return FAIL(ENOSPC, EIO, EAGAIN, EPIPE);
     if (!is_tracked(fd)) return original(fd, bytes, length);
     if (next_write_fails[fd]) {
         next_write_fails[fd] = 0;
         return FAIL(ENOSPC, EIO, EDQUOT);
     }
-    if (is_due(JOURNAL_WRITE)) return FAIL(ENOSPC, EIO, EDQUOT);
-    if (length > 1 && is_due(JOURNAL_SHORT_WRITE)) {
+    if (should_inject(FILE_WRITE)) return FAIL(ENOSPC, EIO, EDQUOT);
+    if (length > 1 && should_inject(FILE_SHORT_WRITE)) {
         next_write_fails[fd] = 1;
-        return original(fd, bytes, 1 + draw() % (length - 1));
+        return original(fd, bytes, 1 + next_random() % (length - 1));
     }
-    if (length > 0 && is_due(JOURNAL_KILL)) {
-        original(fd, bytes, draw() % (length + 1));
+    if (length > 0 && should_inject(KILL_IN_FILE_WRITE)) {
+        original(fd, bytes, next_random() % (length + 1));
         kill(getpid(), SIGKILL);
     }
     return original(fd, bytes, length);
@@ -275,31 +286,31 @@
 
 ssize_t read(int fd, void *bytes, size_t length) {
     ORIGINAL(read);
-    if (is_tracked(fd) && is_due(JOURNAL_READ)) return FAIL(EIO, EINTR);
+    if (is_tracked(fd) && should_inject(FILE_READ)) return FAIL(EIO, EINTR);
     return original(fd, bytes, length);
 }
 
 int ftruncate(int fd, off_t length) {
     ORIGINAL(ftruncate);
-    if (is_tracked(fd) && is_due(JOURNAL_TRUNCATE)) return FAIL(EIO, EINTR);
+    if (is_tracked(fd) && should_inject(FILE_TRUNCATE)) return FAIL(EIO, EINTR);
     return original(fd, length);
 }
 
 int ftruncate64(int fd, off64_t length) {
     ORIGINAL(ftruncate64);
-    if (is_tracked(fd) && is_due(JOURNAL_TRUNCATE)) return FAIL(EIO, EINTR);
+    if (is_tracked(fd) && should_inject(FILE_TRUNCATE)) return FAIL(EIO, EINTR);
     return original(fd, length);
 }
 
 int unlink(const char *path) {
     ORIGINAL(unlink);
-    if (is_below_directory(path) && is_due(JOURNAL_REMOVE)) return FAIL(EIO, EBUSY, ENOMEM);
+    if (is_below_directory(path) && should_inject(FILE_REMOVE)) return FAIL(EIO, EBUSY, ENOMEM);
     return original(path);
 }
 
 DIR *opendir(const char *path) {
     ORIGINAL(opendir);
-    if (is_below_directory(path) && is_due(JOURNAL_LIST)) {
+    if (is_below_directory(path) && should_inject(DIRECTORY_LIST)) {
         FAIL(EMFILE, ENFILE, ENOMEM);
         return NULL;
     }
@@ -310,55 +321,55 @@
 
 ssize_t send(int fd, const void *bytes, size_t length, int flags) {
     ORIGINAL(send);
-    if (is_due(SEND_INTERRUPTED)) return FAIL(EINTR);
-    if (is_due(SEND_NO_BUFFERS)) return FAIL(ENOBUFS, ENOMEM);
-    if (length > 1 && is_due(SEND_SHORT)) length = 1 + draw() % (length - 1);
+    if (should_inject(SEND_INTERRUPTED)) return FAIL(EINTR);
+    if (should_inject(SEND_NO_BUFFERS)) return FAIL(ENOBUFS, ENOMEM);
+    if (length > 1 && should_inject(SEND_SHORT)) length = 1 + next_random() % (length - 1);
     return original(fd, bytes, length, flags);
 }
 
 ssize_t recv(int fd, void *bytes, size_t length, int flags) {
     ORIGINAL(recv);
-    if (is_due(RECEIVE_INTERRUPTED)) return FAIL(EINTR);
-    if (is_due(RECEIVE_NO_BUFFERS)) return FAIL(ENOBUFS, ENOMEM);
-    if (length > 1 && is_due(RECEIVE_SHORT)) length = 1 + draw() % 16;
+    if (should_inject(RECEIVE_INTERRUPTED)) return FAIL(EINTR);
+    if (should_inject(RECEIVE_NO_BUFFERS)) return FAIL(ENOBUFS, ENOMEM);
+    if (length > 1 && should_inject(RECEIVE_SHORT)) length = 1 + next_random() % 16;
     return original(fd, bytes, length, flags);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     ORIGINAL(accept4);
-    if (is_due(ACCEPT)) return FAIL(ECONNABORTED, EPROTO, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR);
+    if (should_inject(ACCEPT)) return FAIL(ECONNABORTED, EPROTO, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR);
     return original(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     ORIGINAL(socket);
-    if (domain == AF_INET && is_due(SOCKET)) return FAIL(EMFILE, ENFILE, ENOBUFS, ENOMEM);
+    if (domain == AF_INET && should_inject(SOCKET)) return FAIL(EMFILE, ENFILE, ENOBUFS, ENOMEM);
     return original(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     ORIGINAL(connect);
-    if (is_due(CONNECT)) return FAIL(EADDRNOTAVAIL, ENETUNREACH, EAGAIN, ENOBUFS);
+    if (should_inject(CONNECT)) return FAIL(EADDRNOTAVAIL, ENETUNREACH, EAGAIN, ENOBUFS);
     int result = original(fd, address, length);
-    if (result < 0 && errno == EINPROGRESS && is_due(CONNECT_INTERRUPTED)) errno = EINTR;
+    if (result < 0 && errno == EINPROGRESS && should_inject(CONNECT_INTERRUPTED)) errno = EINTR;
     return result;
 }
 
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length) {
     ORIGINAL(getsockopt);
-    if (is_due(SOCKET_STATUS)) return FAIL(ENOBUFS, ENOMEM);
+    if (should_inject(SOCKET_STATUS)) return FAIL(ENOBUFS, ENOMEM);
     return original(fd, level, name, value, length);
 }
 
 int getpeername(int fd, struct sockaddr *address, socklen_t *length) {
     ORIGINAL(getpeername);
-    if (is_due(SOCKET_STATUS)) return FAIL(ENOBUFS, ENOMEM);
+    if (should_inject(SOCKET_STATUS)) return FAIL(ENOBUFS, ENOMEM);
     return original(fd, address, length);
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length) {
     ORIGINAL(setsockopt);
-    if (is_due(SOCKET_OPTION)) return FAIL(ENOBUFS, ENOMEM);
+    if (should_inject(SOCKET_OPTION)) return FAIL(ENOBUFS, ENOMEM);
     return original(fd, level, name, value, length);
 }
 
@@ -368,28 +379,28 @@
     va_start(arguments, request);
     void *argument = va_arg(arguments, void *);
     va_end(arguments);
-    if (is_due(SOCKET_OPTION)) return FAIL(ENOMEM, EINTR);
+    if (should_inject(SOCKET_OPTION)) return FAIL(ENOMEM, EINTR);
     return original(fd, request, argument);
 }
 
 /* ---- Event loop */
 
-int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int epoll, struct epoll_event *events, int max_events, int timeout) {
     ORIGINAL(epoll_wait);
-    if (is_due(WAIT_INTERRUPTED)) return FAIL(EINTR);
-    return original(epoll, events, most, timeout);
+    if (should_inject(WAIT_INTERRUPTED)) return FAIL(EINTR);
+    return original(epoll, events, max_events, timeout);
 }
 
-int epoll_pwait2(int epoll, struct epoll_event *events, int most, const struct timespec *timeout,
+int epoll_pwait2(int epoll, struct epoll_event *events, int max_events, const struct timespec *timeout,
                  const sigset_t *mask) {
     ORIGINAL(epoll_pwait2);
-    if (is_due(WAIT_INTERRUPTED)) return FAIL(EINTR);
-    return original(epoll, events, most, timeout, mask);
+    if (should_inject(WAIT_INTERRUPTED)) return FAIL(EINTR);
+    return original(epoll, events, max_events, timeout, mask);
 }
 
 int epoll_ctl(int epoll, int operation, int fd, struct epoll_event *event) {
     ORIGINAL(epoll_ctl);
-    if (operation == EPOLL_CTL_ADD && is_due(REGISTER)) return FAIL(ENOMEM, ENOSPC);
-    if (operation == EPOLL_CTL_MOD && is_due(REGISTER_AGAIN)) return FAIL(ENOMEM);
+    if (operation == EPOLL_CTL_ADD && should_inject(REGISTER)) return FAIL(ENOMEM, ENOSPC);
+    if (operation == EPOLL_CTL_MOD && should_inject(REGISTER_AGAIN)) return FAIL(ENOMEM);
     return original(epoll, operation, fd, event);
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,8 +1,9 @@
-//! Fault injection for tests: system calls of a child process fail as Linux documents it, drawn from a seed.
+//! Fault injection for tests: system calls of a child process fail with errors that Linux documents for them,
+//! at random from a seed.
 //!
-//! A shim is preloaded into the child (`LD_PRELOAD`). It fails calls of the C library according to a control
-//! file, which [`FaultControl`] changes while the child runs, or according to a schedule in the environment
-//! variable `FAULT_PLAN` (see `shim/fault_shim.c`). Nothing outside the child is affected.
+//! A shim is preloaded into the child (`LD_PRELOAD`) and replaces functions of the C library. Which of their
+//! calls fail depends on a control file, which [`FaultControl`] changes while the child runs, or on a
+//! schedule in the environment variable `FAULT_PLAN` (see `shim/fault_shim.c`). Only the child is affected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -19,9 +20,9 @@
 pub enum Fault {
     /// A write to a file fails: `ENOSPC`, `EIO` or `EDQUOT`.
     FileWrite,
-    /// A write to a file takes only a part of the bytes, and the next one fails.
+    /// A write to a file is short: it writes only a part of the bytes, and the next one fails.
     FileShortWrite,
-    /// The process is killed after a part of a write to a file.
+    /// The process is killed with `SIGKILL` after a write to a file has written a part of the bytes or all.
     KillInFileWrite,
     /// A file cannot be opened for writing.
     FileCreate,
@@ -29,19 +30,19 @@
     FileTruncate,
     /// A file cannot be removed.
     FileRemove,
-    /// A file cannot be opened for reading, or not be read.
+    /// A file cannot be opened for reading, or a read from it fails.
     FileRead,
     /// A directory cannot be listed.
     DirectoryList,
     /// `send` returns `EINTR`.
     SendInterrupted,
-    /// `send` takes only a part of the bytes.
+    /// `send` is short: it accepts only a part of the bytes.
     SendShort,
     /// `send` returns `ENOBUFS` or `ENOMEM`.
     SendNoBuffers,
     /// `recv` returns `EINTR`.
     ReceiveInterrupted,
-    /// `recv` returns a few bytes only.
+    /// `recv` is short: it returns at most 16 bytes.
     ReceiveShort,
     /// `recv` returns `ENOBUFS` or `ENOMEM`.
     ReceiveNoBuffers,
@@ -49,21 +50,22 @@
     Accept,
     /// `socket` fails.
     Socket,
-    /// `connect` fails at once for a reason of this machine.
+    /// `connect` fails at once with a local error, such as `EADDRNOTAVAIL`.
     Connect,
-    /// `connect` returns `EINTR` and goes on in the kernel.
+    /// `connect` returns `EINTR`, and the kernel continues to connect.
     ConnectInterrupted,
     /// `getsockopt` and `getpeername` fail.
     SocketStatus,
     /// `setsockopt` and `ioctl` fail.
     SocketOption,
-    /// The wait for events returns `EINTR`.
+    /// `epoll_wait` or `epoll_pwait2` returns `EINTR`.
     WaitInterrupted,
-    /// `epoll_ctl` fails for a new descriptor.
+    /// `epoll_ctl` fails to add a descriptor (`EPOLL_CTL_ADD`).
     Register,
-    /// `epoll_ctl` fails for a registered descriptor.
+    /// `epoll_ctl` fails to change a registered descriptor (`EPOLL_CTL_MOD`).
     RegisterAgain,
-    /// The process stands still for up to 150 ms after it has read the monotonic clock.
+    /// The process stalls for up to 150 ms after it has read the monotonic clock, as if it were preempted. A
+    /// reading is eligible with probability 1/16, since the clock is read several times in an iteration.
     Standstill,
     /// A write to standard error fails.
     LogWrite,
@@ -100,10 +102,10 @@
     ];
 }
 
-/// How often a fault is injected: in this many of 255 calls.
+/// How often a fault is injected: with probability rate / 255 into each call that it applies to.
 pub type Rate = u8;
 
-/// Every call fails.
+/// The rate at which every call fails.
 pub const ALWAYS: Rate = 255;
 
 // The layout of `struct control` in the shim.
@@ -122,8 +124,8 @@
 }
 
 impl FaultControl {
-    /// Creates the control file at `path`, without faults. `seed` determines which calls fail; faults of files
-    /// concern those below `directory`.
+    /// Creates the control file at `path`, without faults. `seed` seeds the random choice of the calls that
+    /// fail; faults of files affect only those below `directory`.
     pub fn new(path: &Path, directory: &Path, seed: u64) -> io::Result<FaultControl> {
         let file = File::options().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(CONTROL_BYTES)?;
@@ -131,19 +133,19 @@
         Ok(FaultControl { path: path.to_owned(), directory: directory.to_owned(), file })
     }
 
-    /// Opens an existing control file.
+    /// Opens an existing control file and keeps its faults.
     pub fn open(path: &Path, directory: &Path) -> io::Result<FaultControl> {
         let file = File::options().read(true).write(true).open(path)?;
         Ok(FaultControl { path: path.to_owned(), directory: directory.to_owned(), file })
     }
 
-    /// Sets how often a fault is injected; 0 for never.
+    /// Sets how often a fault is injected; rate 0 means never.
     pub fn set(&self, fault: Fault, rate: Rate) {
         let position = RATES_POSITION + fault as u64;
         self.file.write_all_at(&[rate], position).expect("the control file is writable");
     }
 
-    /// Injects a fault in every call from now on.
+    /// Injects a fault into every call from now on.
     pub fn always(&self, fault: Fault) {
         self.set(fault, ALWAYS);
     }
@@ -153,12 +155,12 @@
         Fault::ALL.into_iter().for_each(|fault| self.set(fault, 0));
     }
 
-    /// Steps the wall clock forward by this time, relative to the real one.
+    /// Sets the child's wall clock ahead of the real one by this time.
     pub fn step_wall_clock_forward(&self, step: Duration) {
         self.set_wall_offset(step.as_millis() as i64);
     }
 
-    /// Steps the wall clock back by this time, relative to the real one.
+    /// Sets the child's wall clock behind the real one by this time.
     pub fn step_wall_clock_back(&self, step: Duration) {
         self.set_wall_offset(-(step.as_millis() as i64));
     }
@@ -168,7 +170,7 @@
         self.file.write_all_at(&bytes, WALL_OFFSET_POSITION).expect("the control file is writable");
     }
 
-    /// Returns how often a fault was injected.
+    /// Returns how often a fault was injected since the control file was created.
     pub fn injected(&self, fault: Fault) -> u64 {
         let mut bytes = [0; 8];
         let position = COUNTS_POSITION + 8 * fault as u64;
