--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -6,8 +6,8 @@
 //! complete; only then is the previous file removed. The newest complete file therefore holds all records.
 //!
 //! Records that are appended together are one frame and are valid together or not at all, also after a torn
-//! write. A file that was begun and is not complete is ignored: the file before it holds all records, also
-//! those that were written after the attempt to replace it.
+//! write. An incomplete file is ignored if an older one is complete: the older one holds all records, also
+//! those that were written after the failed attempt to replace it.
 //!
 //! Writes are not followed by `fsync`: records survive a crash of the process, but not necessarily one of
 //! the machine.
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -36,7 +36,7 @@
     Received(usize),
     /// The peer closed its sending side.
     EndOfStream,
-    /// No input is available at present.
+    /// No input is available (`EAGAIN`); the event loop reports when it is.
     Blocked,
     /// A signal interrupted the read; it may be retried at once.
     Interrupted,
--- a/crates/net/src/listeners.rs
+++ b/crates/net/src/listeners.rs
@@ -73,7 +73,7 @@
     }
 
     /// Accepts the queued connections, then closes the listener: closing resets connections that were not
-    /// accepted. If accepting fails at present, the listener is closed by a later poll.
+    /// accepted. If accepting fails, a later poll closes the listener.
     pub(crate) fn stop_listening(
         &mut self,
         token: Token,
--- a/crates/platform/src/shell/journal.rs
+++ b/crates/platform/src/shell/journal.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriterState {
     /// This process has not created a file yet.
-    NotBegun,
+    NotCreated,
     /// Records can be written.
     Writable,
     /// Records cannot be written.
@@ -58,7 +58,7 @@
         JournalWriter {
             directory,
             clock,
-            state: WriterState::NotBegun,
+            state: WriterState::NotCreated,
             base_bytes: 0,
             max_growth_bytes: capacity_bytes / GROWTH_DIVISOR,
             maintenance_at: 0,
@@ -70,10 +70,10 @@
         self.directory.size()
     }
 
-    /// Returns when a write is due even without records; [`Time::MAX`] for never.
+    /// Returns when [`JournalWriter::write`] is due even without records; [`Time::MAX`] means never.
     pub fn next_wake(&self) -> Time {
         match self.state {
-            WriterState::NotBegun => 0,
+            WriterState::NotCreated => 0,
             WriterState::Writable => Time::MAX,
             WriterState::Failing { retry_at, .. } => retry_at,
         }
@@ -86,7 +86,7 @@
             WriterState::Writable if records.is_empty() => Ok(()),
             WriterState::Writable => self.append(records).or_else(|_| self.write_snapshot(core)),
             WriterState::Failing { retry_at, .. } if now < retry_at => return WriteOutcome::Failed,
-            WriterState::NotBegun | WriterState::Failing { .. } => self.write_snapshot(core),
+            WriterState::NotCreated | WriterState::Failing { .. } => self.write_snapshot(core),
         };
         match result {
             Ok(()) => self.handle_success(core, now),
@@ -108,7 +108,7 @@
     fn handle_failure(&mut self, error: &JournalError, now: Time) -> WriteOutcome {
         let since = match self.state {
             WriterState::Failing { since, .. } => since,
-            WriterState::NotBegun | WriterState::Writable => {
+            WriterState::NotCreated | WriterState::Writable => {
                 tracing::error!(%error, "journal unwritable");
                 now
             }
--- a/crates/platform/src/shell/startup.rs
+++ b/crates/platform/src/shell/startup.rs
@@ -112,7 +112,7 @@
     config: &Config,
     clock: ClockReference,
 ) -> Result<ReplayedJournal, JournalError> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let OpenedJournal { directory, records, damage } =
         JournalDirectory::open(state, config.limits.disk_bytes())?;
     for damage in &damage {
@@ -124,7 +124,7 @@
         pending = replay.pending.len(),
         unusable_records = replay.unusable_records,
         clock_shift_ms = replay.clock_shift / 1_000_000,
-        took_ms = began.elapsed().as_millis() as u64,
+        took_ms = started_at.elapsed().as_millis() as u64,
         name = config.name,
         "journal replayed"
     );
