--- a/crates/journal/src/directory.rs
+++ b/crates/journal/src/directory.rs
@@ -19,7 +19,7 @@
     path: PathBuf,
     capacity_bytes: u64,
     /// Highest number used for a file, also for one whose creation failed: no number is used twice.
-    number: u64,
+    last_number: u64,
     /// The file that records are appended to; `None` until this process has created one.
     file: Option<CurrentFile>,
     /// Sizes in bytes of the other files that may still exist, by number.
@@ -68,9 +68,9 @@
         for &number in &numbers {
             other_files.insert(number, fs::metadata(file_path(path, number))?.len());
         }
-        let number = numbers.last().copied().unwrap_or(0);
+        let last_number = numbers.last().copied().unwrap_or(0);
         let path = path.to_owned();
-        let directory = JournalDirectory { path, capacity_bytes, number, file: None, other_files };
+        let directory = JournalDirectory { path, capacity_bytes, last_number, file: None, other_files };
         Ok(OpenedJournal { directory, records, damage })
     }
 
@@ -150,8 +150,8 @@
         if length > available {
             return Err(JournalError::NoCapacity { bytes: length, available });
         }
-        self.number += 1;
-        let number = self.number;
+        self.last_number += 1;
+        let number = self.last_number;
         // If the creation fails, a partial file may remain.
         self.other_files.insert(number, length);
         let file = create_file(&file_path(&self.path, number), &bytes).inspect_err(|_| {
