--- a/bench-adapter/src/event/tests.rs
+++ b/bench-adapter/src/event/tests.rs
@@ -1,9 +1,9 @@
-//! Records as the description of the wire format has them, decoded.
+//! Decodes example records in the wire format.
 
 use super::*;
 use crate::tests::hex;
 
-/// Load reports begin with the capacity left and the rate limit.
+/// Layout of load reports that begin with the capacity left and the rate limit.
 const LAYOUT: LoadReportLayout = LoadReportLayout { capacity_left: Some(0), rate_limit: Some(1) };
 
 #[test]
@@ -36,8 +36,8 @@
         (AttemptOutcome::Served, 18_500_000, true)
     );
     assert_eq!((result.capacity_left, result.rate_limit), (Some(f64::from(0.4f32)), Some(1.25)));
-    let unnamed = decode(LoadReportLayout::default());
-    assert_eq!((unnamed.capacity_left, unnamed.rate_limit), (None, None));
+    let without_layout = decode(LoadReportLayout::default());
+    assert_eq!((without_layout.capacity_left, without_layout.rate_limit), (None, None));
 }
 
 #[test]
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -101,7 +101,7 @@
             // After a pause of this courier, the elapsed time is not the latency of the destination.
             if self.delay <= 2 * self.settings.tick {
                 destination.latencies.record(result.elapsed, LATENCY_SAMPLES, high_percentile);
-                destination.average_latency(result.elapsed, EWMA_WEIGHT, LATENCY_SAMPLES);
+                destination.update_average_latencies(result.elapsed, EWMA_WEIGHT, LATENCY_SAMPLES);
                 self.latencies.record(result.elapsed, LATENCY_SAMPLES, high_percentile);
             }
         } else {
@@ -132,7 +132,7 @@
             limiter.record_outcome(sent_at, outcome, chance, context.for_destination());
         }
         if std::mem::discriminant(&before) != std::mem::discriminant(&limiter.circuit) {
-            let change = limiter.change(id, result.endpoint, outcome);
+            let change = limiter.describe_change(id, result.endpoint, outcome);
             self.actions.push(Action::LimitChanged(change));
         }
     }
