--- a/crates/endpoint-model/src/calls.rs
+++ b/crates/endpoint-model/src/calls.rs
@@ -1,22 +1,22 @@
-//! Calls and connections as they arrive, and what the caller of the simulator is to do with them.
+//! Calls and connections as they arrive, and the actions that the simulator returns for them.
 
 use linnetcart_conformance::Time;
 
 /// A message in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallItem {
-    /// The message.
+    /// The id of the message.
     pub message: u64,
-    /// The class of the message.
+    /// The class number of the message.
     pub class: u8,
 }
 
 /// The courier that makes a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Caller {
-    /// The courier.
+    /// The number of the courier.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// How many times the courier had been restarted when it made the call.
     pub incarnation: u32,
 }
 
@@ -25,7 +25,7 @@
 pub struct IncomingCall<'a> {
     /// The courier that makes the call.
     pub caller: Caller,
-    /// Travel time of the call; 0 if it is not known.
+    /// Network delay from the courier to the endpoint, in nanoseconds; 0 if it is not known.
     pub travelled: Time,
     /// The endpoint that the call reached.
     pub endpoint: u32,
@@ -33,16 +33,16 @@
     pub items: &'a [CallItem],
 }
 
-/// A call that was received.
+/// The simulator's decision about a call that arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedCall {
     /// The number that the simulator assigned to the call.
     pub call: u64,
-    /// What is to be done with the call now.
+    /// What the owner of the simulator does with the call now.
     pub step: CallStep,
 }
 
-/// How a message of a call is answered.
+/// The status of one message in the answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemStatus {
     /// The message was served.
@@ -56,9 +56,9 @@
 /// The load that an endpoint reports in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedLoad {
-    /// The fraction of the limit that is left.
+    /// The fraction of the quota that is left: 0 to 1.
     pub capacity_left: f64,
-    /// The limit, in calls per second.
+    /// The rate that the limit admits, in calls per second.
     pub rate_limit: f64,
 }
 
@@ -67,13 +67,13 @@
 pub struct Reply {
     /// The status of each message of the call, in order.
     pub statuses: Vec<ItemStatus>,
-    /// The Retry-After; 0 if none is given.
+    /// The Retry-After in nanoseconds; 0 if none is given.
     pub retry_after: Time,
     /// The load, if the endpoint reports it.
     pub load: Option<ReportedLoad>,
 }
 
-/// What is to be done with a call now.
+/// What the owner of the simulator does with a call now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallStep {
     /// Send this answer.
@@ -82,7 +82,7 @@
     FinishAt(Time),
     /// Never answer the call.
     Silent,
-    /// Break the connection of the call.
+    /// Reset the connection of the call.
     Break,
 }
 
@@ -91,7 +91,7 @@
 pub enum ConnectOutcome {
     /// The endpoint accepts the connection.
     Accepted {
-        /// Delay until the connection is accepted.
+        /// Delay until the connection is accepted, in nanoseconds.
         after: Time,
     },
     /// The endpoint closes the connection at once.
--- a/crates/endpoint-model/src/deduplication.rs
+++ b/crates/endpoint-model/src/deduplication.rs
@@ -1,9 +1,9 @@
-//! The deduplication of messages with an idempotency key at the endpoints.
+//! Deduplication of messages by idempotency key at the endpoints.
 
 use linnetcart_conformance::{Idempotency, Time};
 use std::collections::BTreeMap;
 
-/// The scope in which a key is known.
+/// An idempotency key together with the scope in which endpoints recognize it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScopedKey {
     destination: u32,
@@ -12,7 +12,7 @@
     message: u64,
 }
 
-/// An execution of a message.
+/// One execution of a message at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Execution {
     pub(crate) at: Time,
@@ -21,14 +21,15 @@
     pub(crate) message: u64,
 }
 
-/// The times at which messages with an idempotency key last took effect.
+/// When each message with an idempotency key last took effect.
 #[derive(Debug, Default)]
 pub(crate) struct DeduplicationStore {
     effects: BTreeMap<ScopedKey, Time>,
 }
 
 impl DeduplicationStore {
-    /// Returns whether an execution takes effect, and stores it if it does.
+    /// Returns whether an execution takes effect, and stores its time if it does. A keyed message takes no
+    /// effect within `dedup_window` after its last effect; a dropped duplicate does not extend the window.
     pub(crate) fn takes_effect(&mut self, execution: Execution, idempotency: Idempotency) -> bool {
         let Idempotency::Keyed { dedup_window, per_zone } = idempotency else { return true };
         let key = ScopedKey {
--- a/crates/endpoint-model/src/destinations.rs
+++ b/crates/endpoint-model/src/destinations.rs
@@ -1,60 +1,61 @@
-//! Parameters of the simulation: kinds of destinations, their limits and endpoints, and their recovery.
+//! Parameters of the simulation: kinds of destinations, their limits and endpoints, and slow start.
 
 use linnetcart_conformance::{Idempotency, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a kind of destination limits.
+/// The quota by which a kind of destination limits calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum LimitKind {
-    /// No limit except the capacity.
+    /// No quota: calls are rejected only if the queue is too long.
     None,
-    /// A rate in calls per second.
+    /// A token bucket, refilled at the rate of the destination.
     Rate,
-    /// A count of calls in each window.
+    /// A fixed-window counter that admits `rate * ms / 1000` calls, at least one, in each window.
     Window {
         /// Length of the window, in milliseconds.
         ms: u64,
     },
 }
 
-/// Range of the Retry-After of a plain rate limit.
+/// Range from which the Retry-After of an empty token bucket ([`LimitKind::Rate`]) is drawn uniformly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfterRange {
-    /// Shortest Retry-After.
+    /// Shortest Retry-After, in nanoseconds.
     pub shortest: Time,
-    /// Longest Retry-After.
+    /// Longest Retry-After, in nanoseconds.
     pub longest: Time,
 }
 
-/// A kind of destinations.
+/// The parameters that all destinations of one kind share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationKind {
     /// The name of the kind.
     pub name: String,
-    /// What the destinations limit.
+    /// The quota by which the destinations limit calls.
     pub limit: LimitKind,
-    /// Whether rejected calls use up the limit too.
+    /// Whether rejected calls use up the quota too.
     pub rejected_calls_count: bool,
-    /// The fraction of rejections with a Retry-After.
+    /// Probability that a rejection carries a Retry-After.
     pub retry_after_probability: f64,
-    /// The Retry-After of a plain rate limit.
+    /// The Retry-After of an empty token bucket. An exhausted window or a closed limit gives the time until
+    /// it admits calls again, a full queue gives `longest_queue`.
     pub retry_after: RetryAfterRange,
-    /// Capacity as a multiple of the limit.
+    /// Service capacity divided by the admitted rate.
     pub capacity_ratio: f64,
-    /// How long a call may wait in the queue before it is rejected.
+    /// Longest queueing delay in nanoseconds: a call that would wait longer is rejected.
     pub longest_queue: Time,
     /// Coefficient of variation of the service times: standard deviation divided by mean.
     pub service_time_variation: f64,
     /// Most connections that an endpoint accepts; 0 for any number.
     pub max_connections: usize,
-    /// Whether endpoints are independent routes, each with a limit of its own.
+    /// Whether endpoints are independent routes, each with a limit of its own, instead of sharing one.
     pub independent_routes: bool,
     /// Most messages in one call.
     pub max_messages_per_call: usize,
-    /// Work of each additional message in a call, as a fraction of the work of the first.
+    /// Capacity that each additional message in a call takes up, as a fraction of that of the first.
     pub additional_message_work: f64,
-    /// Interval at which the reported load is updated; 0 for no reports.
+    /// Interval at which the reported load is updated, in nanoseconds; 0 for no reports.
     pub load_report_interval: Time,
 }
 
@@ -72,35 +73,36 @@
 pub struct SimulatedDestination {
     /// The number of the destination.
     pub destination: u32,
-    /// The number of its kind.
+    /// The index of its kind.
     pub kind: usize,
     /// Calls per second that the destination admits, or each of its routes where these are independent.
     pub rate: f64,
     /// Its endpoints.
     pub endpoints: Vec<SimulatedEndpoint>,
-    /// Factor by which its service times differ from the usual ones.
+    /// Factor by which the mean service times of the classes are multiplied at this destination.
     pub service_time_factor: f64,
 }
 
 /// A message class as endpoints see it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassWork {
-    /// Usual service time, in nanoseconds.
+    /// Mean service time, in nanoseconds.
     pub service_time: Time,
     /// What endpoints do with a second execution of a message.
     pub idempotency: Idempotency,
 }
 
-/// How destinations recover from outages.
+/// Slow start after an outage: at time `t` after its end, the available capacity is
+/// `capacity * (r + (1 - r) * t / d)`, with ratio `r` and duration `d`, until `t` reaches `d`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryModel {
-    /// The fraction of the capacity that is available right after an outage.
+    /// The fraction of the capacity that is available right after an outage (`r`).
     pub slow_start_ratio: f64,
-    /// Duration of the recovery ramp, after which the full capacity is available.
+    /// Duration of the ramp in nanoseconds, after which the full capacity is available (`d`).
     pub slow_start_duration: Time,
-    /// A destination in slow start is overloaded by more than this multiple of its capacity within one
-    /// window.
+    /// A destination in slow start is overloaded if the calls of one window exceed this multiple of the
+    /// calls that its available capacity serves in that time.
     pub overload_ratio: f64,
-    /// Length of that window.
+    /// Length of the sliding overload window, in nanoseconds.
     pub overload_window: Time,
 }
--- a/crates/endpoint-model/src/faults.rs
+++ b/crates/endpoint-model/src/faults.rs
@@ -2,38 +2,39 @@
 
 use linnetcart_conformance::Time;
 
-/// A fault by which messages of one class fail.
+/// A fault that makes messages of one class fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassFault {
-    /// The class.
+    /// The class number.
     pub class: u8,
-    /// The fraction of its messages that fails.
+    /// Probability that a call fails for its messages of this class.
     pub probability: f64,
     /// Whether failing messages are left unanswered instead of being answered with an error.
     pub unanswered: bool,
 }
 
-/// The faults of an endpoint. The default is none.
+/// The faults of an endpoint. The default is an endpoint without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointFault {
-    /// The fraction of calls that fails quickly.
+    /// Probability that a call is answered with an error after 2 ms, whatever its service time.
     pub error_probability: f64,
     /// The endpoint accepts calls and answers none.
     pub silent: bool,
-    /// The endpoint refuses connections and breaks existing ones.
+    /// The endpoint refuses connections, and resets the connection of every call.
     pub down: bool,
     /// The endpoint answers nothing, not even connection attempts.
     pub vanished: bool,
-    /// Factor of the service times; values below 1 count as 1.
+    /// Factor by which service times are multiplied; values below 1, like the default 0, count as 1.
     pub slowdown: f64,
-    /// The fraction of calls that is executed but not answered.
+    /// Probability that a call is executed but not answered.
     pub lost_answer_probability: f64,
-    /// Messages of one class fail.
+    /// Makes messages of one class fail.
     pub class_fault: Option<ClassFault>,
-    /// Delay until a connection is accepted.
+    /// Delay until a connection is accepted, in nanoseconds.
     pub accept_delay: Time,
-    /// Connections that are idle for longer are dropped silently.
+    /// Connections that were idle for longer than this are dropped. The simulator only stores the timeout;
+    /// its owner, which has the connections, applies it.
     pub idle_timeout: Option<Time>,
-    /// The endpoint is paused until this time.
+    /// Calls that would finish before this time finish at this time instead.
     pub paused_until: Time,
 }
--- a/crates/endpoint-model/src/limit.rs
+++ b/crates/endpoint-model/src/limit.rs
@@ -1,5 +1,5 @@
-//! The limit of a destination or route: which calls it rejects, how its queue moves, how it recovers from an
-//! outage, and what load it reports.
+//! The limit of a destination or route: its quota, its queue, its slow start after an outage, and the load
+//! that it reports.
 
 mod quota;
 mod slow_start;
@@ -11,12 +11,12 @@
 pub(crate) use slow_start::LoadEffect;
 use slow_start::SlowStart;
 
-/// Least capacity, in calls per second; it keeps service times finite.
+/// Least capacity, in calls per second; it keeps the time that a call occupies the queue finite.
 const MIN_CAPACITY: f64 = 1e-3;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Random numbers for a rejection. Both are drawn for every call, so that the outcome of one call does not
-/// change the random numbers of the next.
+/// Random numbers for a rejection, uniform in [0, 1). Both are drawn for every call, also for admitted ones,
+/// so that the outcome of one call does not change the random numbers of the next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RejectionDraws {
     /// Decides whether a Retry-After is given.
@@ -28,13 +28,13 @@
 /// The decision of a limit about a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// The call is admitted, and its service begins at this time.
+    /// The call is admitted, and leaves the queue for service at this time.
     BeginsAt(Time),
-    /// The call is rejected; `retry_after` is 0 if no Retry-After is given.
+    /// The call is rejected; `retry_after` is in nanoseconds, 0 if no Retry-After is given.
     Rejected { retry_after: Time },
 }
 
-/// The load report that answers repeat until the next update.
+/// The load report that answers repeat until `load_report_interval` has passed.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     at: Time,
@@ -46,12 +46,13 @@
 pub(crate) struct DestinationLimit {
     /// Calls per second that the limit admits when it is not throttled.
     rate: f64,
-    /// The fraction of the rate that is admitted at present.
+    /// The fraction of the rate that is admitted at present; below 1 while throttled.
     rate_factor: f64,
-    /// Everything is rejected until this time.
+    /// Every call is rejected until this time.
     closed_until: Time,
     quota: Quota,
-    /// When the service of everything in the queue will have begun.
+    /// When the queue will be empty, in nanoseconds. The queue is FIFO, and a call occupies it for
+    /// `work / capacity` seconds, so the queueing delay of the next call is `busy_until - now`.
     busy_until: f64,
     slow_start: SlowStart,
     last_report: LastReport,
@@ -71,32 +72,32 @@
         }
     }
 
-    /// Lowers the rate to this fraction.
+    /// Sets the fraction of the rate that is admitted; 1 lifts the throttling.
     pub(crate) fn throttle(&mut self, factor: f64) {
         self.rate_factor = factor;
     }
 
-    /// Rejects everything until this time.
+    /// Rejects every call until this time.
     pub(crate) fn close_until(&mut self, until: Time) {
         self.closed_until = until;
     }
 
-    /// Begins a recovery ramp at this time, which may be in the future.
+    /// Begins a slow start at this time, which may be in the future.
     pub(crate) fn slow_start_from(&mut self, at: Time) {
         self.slow_start.begin(at);
     }
 
-    /// Returns whether the limit was overloaded during a recovery ramp. It does not recover from that.
+    /// Returns whether the limit was ever overloaded during a slow start. It does not recover from that.
     pub(crate) fn is_overloaded(&self) -> bool {
         self.slow_start.is_overloaded()
     }
 
-    /// Returns the capacity after the recovery ramp, in calls per second.
+    /// Returns the full capacity, as it is outside of a slow start, in calls per second.
     pub(crate) fn capacity(&self, kind: &DestinationKind) -> f64 {
         self.rate * kind.capacity_ratio
     }
 
-    /// Counts a call, and returns whether it overloads the limit during its recovery ramp.
+    /// Counts a call, and returns whether it overloads the limit during its slow start.
     pub(crate) fn count_call(
         &mut self,
         now: Time,
@@ -107,7 +108,8 @@
         self.slow_start.count_call(now, recovery, capacity)
     }
 
-    /// Admits or rejects a call. `work` is the work of the call as a multiple of that of a single message.
+    /// Admits or rejects a call. `work` is the capacity that the call takes up, as a multiple of that of a
+    /// call with a single message.
     pub(crate) fn admit(
         &mut self,
         now: Time,
@@ -138,7 +140,8 @@
         Admission::BeginsAt(begin as Time)
     }
 
-    /// Returns the load as of the last update of the report, or `None` if the kind reports no load.
+    /// Returns the load as of the last update of the report, or `None` if the kind reports no load. Both
+    /// values are 0 if the kind has no quota.
     pub(crate) fn reported_load(&mut self, now: Time, kind: &DestinationKind) -> Option<ReportedLoad> {
         if kind.load_report_interval == 0 {
             return None;
--- a/crates/endpoint-model/src/limit/quota.rs
+++ b/crates/endpoint-model/src/limit/quota.rs
@@ -1,26 +1,26 @@
-//! The quota of a limit: a token bucket for a plain rate, or a count per window.
+//! The quota of a limit: a token bucket for a rate, or a fixed-window counter.
 
 use super::NANOS_PER_SECOND;
 use crate::destinations::{DestinationKind, LimitKind};
 use linnetcart_conformance::Time;
 
-/// Size of the token bucket, as the time in which a plain rate fills it.
+/// Size of the token bucket, as the time in which the rate fills it.
 const BURST_SECONDS: f64 = 0.25;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Nothing is left of the quota.
+/// The error of a call that exceeds the quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaExhausted {
-    /// How long the caller should wait, as the destination tells it.
+    /// The Retry-After in nanoseconds, if the rejection carries one.
     pub(super) wait: Time,
 }
 
-/// The state of a quota. A limit uses either the token bucket or the window, as its kind says.
+/// The state of a quota. Depending on the [`LimitKind`], either the token bucket or the window is in use.
 #[derive(Debug)]
 pub(super) struct Quota {
     tokens: f64,
     refilled_at: Time,
-    /// Number of the current window.
+    /// Number of the current window: the time divided by the window length.
     window: Time,
     used_in_window: f64,
 }
@@ -30,7 +30,7 @@
         Quota { tokens: bucket_size(rate), refilled_at: 0, window: 0, used_in_window: 0.0 }
     }
 
-    /// Brings the token bucket or the window up to date.
+    /// Adds the tokens gained since the last refill, or resets the counter if a new window has begun.
     pub(super) fn refill(&mut self, now: Time, rate: f64, limit: LimitKind) {
         match limit {
             LimitKind::None => {}
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Consumes the quota of one call. `draw` decides the Retry-After of a plain rate.
+    /// Consumes the quota of one call. `draw`, in [0, 1), selects the Retry-After from the range of a token
+    /// bucket; the Retry-After of a window is the time until it ends.
     pub(super) fn consume(
         &mut self,
         now: Time,
@@ -84,7 +85,7 @@
         window_ms: u64,
         kind: &DestinationKind,
     ) -> Result<(), QuotaExhausted> {
-        if self.used_in_window + 1.0 <= window_count(rate, window_ms) {
+        if self.used_in_window + 1.0 <= window_quota(rate, window_ms) {
             self.used_in_window += 1.0;
             return Ok(());
         }
@@ -95,23 +96,23 @@
         Err(QuotaExhausted { wait: window - now % window })
     }
 
-    /// Returns the fraction of the quota that is left, or `None` if there is no quota. It may be out of range
-    /// after rejected calls were counted.
+    /// Returns the fraction of the quota that is left, or `None` if there is no quota. It can be
+    /// negative, for example after rejected calls were counted.
     pub(super) fn fraction_left(&self, rate: f64, limit: LimitKind) -> Option<f64> {
         match limit {
             LimitKind::None => None,
             LimitKind::Rate => Some(self.tokens / bucket_size(rate)),
-            LimitKind::Window { ms } => Some(1.0 - self.used_in_window / window_count(rate, ms)),
+            LimitKind::Window { ms } => Some(1.0 - self.used_in_window / window_quota(rate, ms)),
         }
     }
 }
 
-/// Returns the most tokens that the bucket of a plain rate holds.
+/// Returns the capacity of the token bucket.
 fn bucket_size(rate: f64) -> f64 {
     (rate * BURST_SECONDS).max(1.0)
 }
 
-/// Returns the calls that a window admits.
-fn window_count(rate: f64, window_ms: u64) -> f64 {
+/// Returns the number of calls that one window admits.
+fn window_quota(rate: f64, window_ms: u64) -> f64 {
     (rate * window_ms as f64 / 1e3).max(1.0)
 }
--- a/crates/endpoint-model/src/limit/slow_start.rs
+++ b/crates/endpoint-model/src/limit/slow_start.rs
@@ -1,29 +1,30 @@
-//! The recovery ramp of a limit after an outage, and its overload during the ramp.
+//! The slow start of a limit after an outage: a linear capacity ramp, and its overload by too many calls.
 
 use super::NANOS_PER_SECOND;
 use crate::destinations::RecoveryModel;
 use linnetcart_conformance::Time;
 use std::collections::VecDeque;
 
-/// Calls cluster by chance: a count up to this many standard deviations above its mean is not an overload.
+/// Random arrivals cluster, so an overload takes more than the tolerated number of calls by this many
+/// standard deviations of a Poisson count, `sqrt(mean)`.
 const TOLERATED_DEVIATIONS: f64 = 2.0;
 
 /// Whether a call overloaded a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadEffect {
-    /// The limit bears the call, or was overloaded before.
-    Bearable,
+    /// The call is tolerated, or the limit was overloaded before.
+    Tolerated,
     /// The call overloads the limit.
     Overloads,
 }
 
-/// The state of a recovery ramp.
+/// The state of a slow start.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    /// When the last outage ended or will end, which is when the ramp begins.
+    /// When the last outage ended or will end, which is when the capacity ramp begins.
     since: Option<Time>,
     overloaded: bool,
-    /// Times of the calls within the overload window.
+    /// Times of the calls within the sliding overload window.
     recent_calls: VecDeque<Time>,
 }
 
@@ -37,7 +38,8 @@
         self.overloaded
     }
 
-    /// Returns the fraction of the capacity that is available: 1 outside of the ramp.
+    /// Returns the fraction of the capacity that is available: `r + (1 - r) * progress` during the ramp, 1
+    /// outside of it.
     pub(super) fn capacity_fraction(&self, now: Time, recovery: &RecoveryModel) -> f64 {
         match self.since {
             Some(since) if now >= since && now < since + recovery.slow_start_duration => {
@@ -48,8 +50,9 @@
         }
     }
 
-    /// Counts a call, and returns whether it overloads the limit. `capacity` is the one after the ramp, in
-    /// calls per second.
+    /// Counts a call, and returns whether it overloads the limit: whether the calls in the window exceed
+    /// `mean + 2 * sqrt(mean) + 1`, with `mean = overload_ratio * available capacity * window`. `capacity` is
+    /// the full one, in calls per second.
     pub(super) fn count_call(&mut self, now: Time, recovery: &RecoveryModel, capacity: f64) -> LoadEffect {
         while self.recent_calls.front().is_some_and(|&at| at + recovery.overload_window <= now) {
             self.recent_calls.pop_front();
@@ -57,7 +60,7 @@
         self.recent_calls.push_back(now);
         let capacity_fraction = self.capacity_fraction(now, recovery);
         if capacity_fraction >= 1.0 || self.overloaded {
-            return LoadEffect::Bearable;
+            return LoadEffect::Tolerated;
         }
         // Calls during the outage do not count against the limit.
         let since = self.since.unwrap_or(0);
@@ -69,7 +72,7 @@
         if self.overloaded {
             LoadEffect::Overloads
         } else {
-            LoadEffect::Bearable
+            LoadEffect::Tolerated
         }
     }
 }
--- a/crates/endpoint-model/src/simulator.rs
+++ b/crates/endpoint-model/src/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator of all endpoints, and what can be changed about them during a run.
+//! The simulator of all endpoints: its state, and the changes of endpoints and faults during a run.
 
 mod connections;
 mod service;
@@ -15,7 +15,7 @@
 use service::PendingCall;
 use std::collections::BTreeMap;
 
-/// A limit that was overloaded during its recovery ramp.
+/// The overload of a limit during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
     /// When the limit was overloaded.
@@ -24,14 +24,14 @@
     pub destination: u32,
 }
 
-/// The time of an outage, and how couriers notice it.
+/// The time of an outage, and whether connections fail during it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutageSpan {
     /// When the outage begins.
     pub from: Time,
-    /// When the outage ends, as far as is known.
+    /// When the outage is expected to end.
     pub until: Time,
-    /// Whether connections are refused or not answered.
+    /// Whether connection attempts fail: they are refused or not answered.
     pub refused_connections: bool,
 }
 
@@ -76,11 +76,11 @@
     endpoints: BTreeMap<u32, EndpointState>,
     limits: BTreeMap<LimitOwner, DestinationLimit>,
     calls: BTreeMap<u64, PendingCall>,
-    /// The number of the last call.
+    /// The number of the last call that arrived.
     last_call: u64,
     deduplication: DeduplicationStore,
     rng: ChaCha8Rng,
-    /// Factor of all service times.
+    /// Factor by which all service times are multiplied; 1 without a fault.
     shared_slowdown: f64,
     arrivals: Vec<Arrival>,
     outages: Vec<Outage>,
@@ -134,7 +134,7 @@
         self.limits.entry(owner).or_insert_with(|| DestinationLimit::new(destination.rate));
     }
 
-    /// Adds an endpoint to a destination.
+    /// Adds an endpoint to a destination. Does nothing if the destination does not exist.
     pub fn add(&mut self, destination: u32, endpoint: SimulatedEndpoint) {
         let Some(mut extended) = self.destinations.remove(&destination) else { return };
         extended.endpoints.push(endpoint);
@@ -142,7 +142,8 @@
         self.destinations.insert(destination, extended);
     }
 
-    /// Takes an endpoint out of service.
+    /// Takes an endpoint out of service: it refuses connections and resets those of new calls. Calls that it
+    /// admitted before still finish.
     pub fn remove(&mut self, endpoint: u32) {
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.removed = true;
@@ -159,47 +160,46 @@
         self.destinations.get(&destination).map(|found| &self.kinds[found.kind])
     }
 
-    /// Returns all messages that have reached endpoints.
+    /// Returns the record of every message that reached an endpoint, one for each attempt, ordered by time.
     pub fn arrivals(&self) -> &[Arrival] {
         &self.arrivals
     }
 
-    /// Returns all outages. The end of an outage that is still in progress is the one that was expected when
-    /// it began.
+    /// Returns all outages, with the end that was expected when each began.
     pub fn outages(&self) -> &[Outage] {
         &self.outages
     }
 
-    /// Returns all overloads of limits during their recovery ramps.
+    /// Returns all overloads of limits during their slow starts.
     pub fn overloads(&self) -> &[Overload] {
         &self.overloads
     }
 
-    /// Sets the factor of all service times.
+    /// Sets the factor by which all service times are multiplied; 1 ends the fault.
     pub fn slow_all(&mut self, factor: f64) {
         self.shared_slowdown = factor;
     }
 
-    /// Returns the faults of an endpoint for changes, or `None` if the endpoint does not exist.
+    /// Returns a mutable reference to the faults of an endpoint, or `None` if the endpoint does not exist.
     pub fn fault_mut(&mut self, endpoint: u32) -> Option<&mut EndpointFault> {
         self.endpoints.get_mut(&endpoint).map(|state| &mut state.fault)
     }
 
-    /// Lowers the rate of the limits of a destination to this fraction.
+    /// Sets the limits of a destination to this fraction of their rate; 1 ends the throttling.
     pub fn throttle(&mut self, destination: u32, factor: f64) {
         for (_, limit) in limits_of(&mut self.limits, destination) {
             limit.throttle(factor);
         }
     }
 
-    /// Makes a destination reject everything until this time; 0 ends the rejection.
+    /// Makes a destination reject every call until this time; 0 ends the rejection.
     pub fn shut_down_until(&mut self, destination: u32, until: Time) {
         for (_, limit) in limits_of(&mut self.limits, destination) {
             limit.close_until(until);
         }
     }
 
-    /// Records an outage of a destination, after which its limits have a recovery ramp.
+    /// Records an outage of a destination, and begins a slow start of its limits at the end of the outage.
     pub fn outage(&mut self, destination: u32, span: OutageSpan) {
         let Some(found) = self.destinations.get(&destination) else { return };
         let kind = &self.kinds[found.kind];
--- a/crates/endpoint-model/src/simulator/connections.rs
+++ b/crates/endpoint-model/src/simulator/connections.rs
@@ -1,15 +1,15 @@
-//! Connections to endpoints: which ones are accepted, and how many each endpoint has.
+//! Connections to endpoints: which ones are accepted, and how many are open at each endpoint.
 
 use super::EndpointSimulator;
 use crate::calls::ConnectOutcome;
 
 impl EndpointSimulator {
-    /// Returns whether the endpoint listens for connections.
+    /// Returns whether the endpoint exists and is neither down nor removed.
     pub fn listens(&self, endpoint: u32) -> bool {
         self.endpoints.get(&endpoint).is_some_and(|state| state.is_listening())
     }
 
-    /// Handles a connection attempt of a courier.
+    /// Decides about a connection attempt, and counts the connection if it is accepted.
     pub fn connect(&mut self, endpoint: u32) -> ConnectOutcome {
         let Some(state) = self.endpoints.get_mut(&endpoint) else { return ConnectOutcome::Refused };
         let Some(destination) = self.destinations.get(&state.destination) else {
@@ -29,7 +29,7 @@
         ConnectOutcome::Accepted { after: state.fault.accept_delay }
     }
 
-    /// Notes the end of a connection that was accepted.
+    /// Stops counting an accepted connection that has ended.
     pub fn disconnect(&mut self, endpoint: u32) {
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.connections = state.connections.saturating_sub(1);
--- a/crates/endpoint-model/src/simulator/service.rs
+++ b/crates/endpoint-model/src/simulator/service.rs
@@ -1,4 +1,5 @@
-//! The service of calls: what is decided when a call arrives, and what is decided when it finishes.
+//! The service of calls. Admission, planned results and service time are decided on arrival; execution and
+//! answer are decided when the call finishes.
 
 use super::{EndpointSimulator, EndpointState, LimitOwner, Overload};
 use crate::calls::{CallItem, CallStep, IncomingCall, ItemStatus, ReceivedCall, Reply, ReportedLoad};
@@ -9,11 +10,11 @@
 use rand_distr::{Distribution, LogNormal};
 use std::ops::Range;
 
-/// The fraction of failed messages that are executed nevertheless.
+/// Probability that a failed message was executed nevertheless, which its caller cannot know.
 const EXECUTED_FAILURE_FRACTION: f64 = 0.3;
-/// Duration of a call that fails quickly.
+/// Time from the arrival of a call that fails quickly to its answer, in nanoseconds.
 const QUICK_FAILURE_TIME: Time = 2_000_000;
-/// Shortest service time of a call.
+/// Shortest service time of a call, in nanoseconds.
 const MIN_SERVICE_TIME: Time = 1000;
 
 /// The result of a message, as decided on its arrival.
@@ -30,15 +31,16 @@
 pub(super) struct PendingCall {
     endpoint: u32,
     items: Vec<CallItem>,
-    /// The positions of its records among the arrivals, one for each message.
+    /// The positions of its records in `EndpointSimulator::arrivals`, one for each message.
     records: Range<usize>,
-    /// The planned result of each message. The state of the endpoint at the end of the call may change it.
+    /// The planned result of each message. They are not answered if the endpoint is down or silent when the
+    /// call finishes.
     planned: Vec<PlannedResult>,
     /// Whether the call is executed but not answered.
     answer_lost: bool,
 }
 
-/// The decision about a call at the limit of its destination.
+/// The decision of a limit about a call, including overload and faults.
 enum LimitDecision {
     BeginsAt(Time),
     Rejected { retry_after: Time, load: Option<ReportedLoad> },
@@ -46,7 +48,7 @@
 }
 
 impl EndpointSimulator {
-    /// Handles the arrival of a call, and returns what is to be done with it.
+    /// Handles the arrival of a call, and returns its number and next step.
     pub fn receive_call(&mut self, now: Time, incoming: IncomingCall<'_>) -> ReceivedCall {
         self.last_call += 1;
         let call = self.last_call;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Records the messages of a call. They count as unanswered until the call finishes.
+    /// Records the arrival of each message of a call, as unanswered until the call finishes.
     fn record_arrivals(&mut self, now: Time, call: u64, incoming: IncomingCall<'_>, state: EndpointState) {
         let independent_route = self.kind(state.destination).is_some_and(|kind| kind.independent_routes);
         let first = self.arrivals.len();
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Draws the results and the duration of an admitted call.
+    /// Draws the results of an admitted call, and the service time: the longest of its messages.
     fn plan_service(
         &mut self,
         now: Time,
@@ -158,7 +160,7 @@
             return CallStep::FinishAt(now + QUICK_FAILURE_TIME);
         }
         let answer_lost = self.rng.random::<f64>() < state.fault.lost_answer_probability;
-        // All messages of one class in a call have the same result, because an answer has one code for them.
+        // One draw for all messages: the answer has one error code for all messages of a class.
         let class_draw = self.rng.random::<f64>();
         let planned = items.iter().map(|item| plan_result(item, &state, class_draw)).collect();
         let mut service_time = MIN_SERVICE_TIME;
@@ -172,22 +174,24 @@
         CallStep::FinishAt(begin + service_time)
     }
 
+    /// Draws a service time from a log-normal distribution with the mean of the class and the coefficient of
+    /// variation `cv` of the kind: `sigma^2 = ln(1 + cv^2)` and `mu = ln(mean) - sigma^2 / 2`.
     fn draw_service_time(&mut self, item: &CallItem, state: &EndpointState) -> Time {
         let destination = &self.destinations[&state.destination];
-        let usual = self.classes[usize::from(item.class)].service_time as f64;
+        let class_mean = self.classes[usize::from(item.class)].service_time as f64;
         let fault_slowdown = state.fault.slowdown.max(1.0);
-        let mean = usual * destination.service_time_factor * self.shared_slowdown * fault_slowdown;
-        let variation = self.kinds[destination.kind].service_time_variation;
-        let spread = (1.0 + variation * variation).ln().sqrt();
-        let location = mean.ln() - spread * spread / 2.0;
-        // A finite, non-negative deviation always gives a valid distribution.
-        match LogNormal::new(location, spread) {
+        let mean = class_mean * destination.service_time_factor * self.shared_slowdown * fault_slowdown;
+        let cv = self.kinds[destination.kind].service_time_variation;
+        let sigma = (1.0 + cv * cv).ln().sqrt();
+        let mu = mean.ln() - sigma * sigma / 2.0;
+        // A finite, non-negative sigma always gives a valid distribution.
+        match LogNormal::new(mu, sigma) {
             Ok(distribution) => distribution.sample(&mut self.rng) as Time,
             Err(_) => mean as Time,
         }
     }
 
-    /// Advances a call at the time that [`CallStep::FinishAt`] gave, and returns what is to be done with it.
+    /// Advances a call at the time that [`CallStep::FinishAt`] gave, and returns its next step.
     pub fn finish_call(&mut self, now: Time, call: u64) -> CallStep {
         let Some(pending) = self.calls.get(&call) else { return CallStep::Silent };
         let endpoint = pending.endpoint;
@@ -198,7 +202,7 @@
         if state.fault.paused_until > now {
             return CallStep::FinishAt(state.fault.paused_until);
         }
-        // A call that began before the endpoint became silent is executed but not answered.
+        // A call that was admitted before the endpoint became silent is executed but not answered.
         let silent = state.fault.silent || state.fault.vanished || pending.answer_lost;
         let fails_unanswered = pending.planned.contains(&PlannedResult::Unanswered);
         let statuses = self.execute(now, call, state);
@@ -210,7 +214,8 @@
         self.answer(call, now, Reply { statuses, retry_after: 0, load })
     }
 
-    /// Executes the messages of a call, and returns the status of each.
+    /// Executes the messages of a call: those planned as served, and a random part of the failed ones.
+    /// Records which took effect, and returns the status of each message.
     fn execute(&mut self, now: Time, call: u64, state: EndpointState) -> Vec<ItemStatus> {
         let Some(pending) = self.calls.get(&call) else { return Vec::new() };
         let mut statuses = Vec::new();
@@ -256,7 +261,8 @@
     }
 }
 
-/// Decides the result of a message of a call that did not fail quickly.
+/// Returns the result of a message, in a call that does not fail quickly, under the class fault of its
+/// endpoint.
 fn plan_result(item: &CallItem, state: &EndpointState, class_draw: f64) -> PlannedResult {
     match state.fault.class_fault {
         Some(fault) if fault.class == item.class && class_draw < fault.probability => {
--- a/crates/endpoint-model/tests/simulator.rs
+++ b/crates/endpoint-model/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator's decisions about calls and connections, and its records of them.
+//! Decisions of the endpoint simulator about calls and connections, and its records of them.
 
 use linnetcart_conformance::{EndpointVerdict, Idempotency, Time};
 use linnetcart_endpoint_model::{
@@ -50,7 +50,7 @@
     EndpointSimulator::new(vec![kind], classes, recovery, vec![destination], 7)
 }
 
-/// Makes a call with one message and finishes it.
+/// Makes a call with one message, and finishes it at once if it is admitted.
 fn call(simulator: &mut EndpointSimulator, now: Time, endpoint: u32, message: u64, class: u8) -> CallStep {
     let items = [CallItem { message, class }];
     let incoming = IncomingCall { caller: CALLER, travelled: 0, endpoint, items: &items };
@@ -133,12 +133,14 @@
         }
         simulated.overloads().len()
     };
-    // At first it bears twice a tenth of 40 calls per second.
+    // Right after the outage the mean that is tolerated is overload_ratio * slow_start_ratio * capacity, which
+    // is 2 * 0.1 * 40 = 8 calls per second. With the allowance for random clusters, a window of 1 s may have
+    // 8 + 2 * sqrt(8) + 1 = 14.7 calls: 5 per second are tolerated, 33 are not.
     assert_eq!(run(200 * MS), 0);
     assert_eq!(run(30 * MS), 1);
 }
 
-/// A simulator whose endpoint 10 has this fault.
+/// Returns a simulator whose endpoint 10 has this fault.
 fn simulator_with_fault(fault: EndpointFault) -> EndpointSimulator {
     let mut simulated = simulator(kind(LimitKind::None), 100.0);
     *simulated.fault_mut(10).unwrap() = fault;
