--- a/crates/endpoint-model/tests/simulator.rs
+++ b/crates/endpoint-model/tests/simulator.rs
@@ -133,7 +133,7 @@
         }
         simulated.overloads().len()
     };
-    // Right after the outage the mean that is tolerated is overload_ratio * slow_start_ratio * capacity, which
+    // Right after the outage the mean that is tolerated is overload_ratio * slow_start_ratio * capacity, that
     // is 2 * 0.1 * 40 = 8 calls per second. With the allowance for random clusters, a window of 1 s may have
     // 8 + 2 * sqrt(8) + 1 = 14.7 calls: 5 per second are tolerated, 33 are not.
     assert_eq!(run(200 * MS), 0);
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,19 +1,19 @@
-//! Errors of scenarios and of their execution.
+//! Errors in scenario documents and during runs.
 
 use crate::runner::TransportError;
 
-/// An error of this package.
+/// An error in a scenario document or during a run.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The document is not TOML, or has unknown, missing or mistyped keys.
     #[error(transparent)]
     Document(#[from] toml::de::Error),
     /// A value of the document is out of its range.
-    #[error("{place}: {expected}")]
+    #[error("{place}: expected {expected}")]
     Invalid {
-        /// The place of the value.
+        /// The key, section or fault that has the value.
         place: String,
-        /// What was expected there.
+        /// Which values are valid there; follows "expected" in the message.
         expected: String,
     },
     /// A built-in scenario is invalid.
@@ -32,25 +32,25 @@
         /// The error in it.
         source: Box<ScenarioError>,
     },
-    /// The name is neither that of a readable file nor that of a built-in scenario.
+    /// There is neither a built-in scenario of this name nor a readable file of this path.
     #[error("`{name}` is neither a file nor a built-in scenario; built-in scenarios: {known}")]
     Unknown {
-        /// The requested name.
+        /// The requested name or path.
         name: String,
         /// The names of the built-in scenarios.
         known: String,
         /// Why it could not be read as a file.
         source: std::io::Error,
     },
-    /// An operation of the transport failed.
+    /// The transport could not start a courier or open an endpoint.
     #[error(transparent)]
     Transport(TransportError),
-    /// A courier rejected a document that was put to its control interface.
+    /// A courier rejected a document that it received on its control interface.
     #[error("courier {courier} rejected its settings or endpoint list: {reason}")]
     DocumentRejected {
-        /// The courier.
+        /// The number of the courier.
         courier: u32,
-        /// The reason that it gave.
+        /// The reason that the courier gave.
         reason: String,
     },
     /// A request of a client could not be encoded.
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns an error for this place unless the condition holds.
+/// Returns [`ScenarioError::Invalid`] for this place unless the condition holds.
 pub(crate) fn require(
     condition: bool,
     place: impl Into<String>,
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet: destinations, messages and settings, drawn from a scenario and a seed. The same scenario and seed
-//! give the same fleet.
+//! A fleet: destinations, messages and settings of a run, drawn from a scenario and a seed. The same scenario
+//! and seed give the same fleet.
 
 mod model;
 mod settings;
@@ -15,9 +15,9 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::BTreeMap;
 
-/// Standard deviation of the logarithm of the destinations' service time factors.
-const SERVICE_TIME_SPREAD: f64 = 0.3;
-/// Spreads small salts over the whole range of a seed.
+/// Sigma of the log-normal distribution (with median 1) of the destinations' service time factors.
+const SERVICE_TIME_FACTOR_SIGMA: f64 = 0.3;
+/// Multiplier of Fibonacci hashing, 2^64 divided by the golden ratio: spreads small salts over all 64 bits.
 const SALT_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Timing tolerance of runs on sockets, in nanoseconds.
@@ -25,7 +25,7 @@
 /// Timing tolerance of emulated runs, in nanoseconds.
 const EMULATED_TIMING_TOLERANCE: Time = 8_000_000;
 
-/// The environment in which a scenario runs, which decides how precise its times are.
+/// The environment in which a scenario runs, which determines how precise the recorded times are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timebase {
     /// Sockets and processes, with the delays of clocks, event loops and a real network.
@@ -35,7 +35,7 @@
 }
 
 impl Timebase {
-    /// Returns the tolerance that the conformance checks add to every limit, in nanoseconds.
+    /// Returns the tolerance that the conformance checks add to every time limit, in nanoseconds.
     fn timing_tolerance(self) -> Time {
         match self {
             Timebase::Sockets => SOCKET_TIMING_TOLERANCE,
@@ -47,11 +47,11 @@
 /// A message that a client is to submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedMessage {
-    /// When the message is submitted, in nanoseconds.
+    /// When the message is first submitted, in nanoseconds after the start of the run.
     pub at: Time,
-    /// The class.
+    /// The class number.
     pub class: u8,
-    /// The destination.
+    /// The number of the destination.
     pub destination: u32,
     /// The ordering key, if the message has one.
     pub key: Option<u64>,
@@ -62,11 +62,11 @@
 pub struct ListedDestination {
     /// The name of its kind.
     pub kind: String,
-    /// Calls per second that it admits.
+    /// Calls per second that it admits, or each of its routes where these are independent.
     pub rate: f64,
 }
 
-/// A fleet: everything about a run that is decided before it begins.
+/// A fleet: everything about a run that is drawn before it begins.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// The scenario that the fleet was drawn from.
@@ -105,8 +105,8 @@
         destination.rate * routes as f64
     }
 
-    /// Draws destinations that together receive about the fraction `part` of the traffic. Different salts
-    /// draw different destinations.
+    /// Draws destinations in random order until their rate limits add up to at least `part * full_load`, so
+    /// that they receive about this fraction of the traffic. The salt selects the order.
     pub fn affected_destinations(&self, part: f64, salt: u64) -> Vec<u32> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ salt.wrapping_mul(SALT_FACTOR));
         let mut order: Vec<usize> = (0..self.destinations.len()).collect();
@@ -124,7 +124,7 @@
         affected
     }
 
-    /// Summarizes the size of the fleet in one line.
+    /// Returns a summary of the size of the fleet, in one line.
     pub fn about(&self) -> String {
         let endpoints: usize = self.destinations.iter().map(|destination| destination.endpoints.len()).sum();
         format!(
@@ -136,19 +136,20 @@
         )
     }
 
-    /// Returns the seed of the decisions of one incarnation of a courier.
+    /// Returns the seed of the random decisions of one incarnation of a courier.
     pub fn courier_seed(&self, courier: u32, incarnation: u32) -> u64 {
         self.seed ^ (u64::from(courier) << 32) ^ u64::from(incarnation)
     }
 
-    /// Draws the offset of a wall clock in nanoseconds; negative if the clock is behind. Any two clocks
-    /// differ by no more than the scenario allows.
+    /// Draws the offset of a wall clock in nanoseconds, uniformly; negative if the clock is behind. The
+    /// offset is at most half of `max_clock_difference_ms`, so that any two clocks differ by at most all of
+    /// it.
     pub fn draw_clock_offset(&self, rng: &mut impl Rng) -> i64 {
         let max_offset = millis(self.scenario.clients.max_clock_difference_ms / 2.0) as i64;
         rng.random_range(-max_offset..=max_offset)
     }
 
-    /// Returns the topic of each class, by class number.
+    /// Returns the topic of each class, indexed by class number.
     pub fn topics(&self) -> Vec<String> {
         self.scenario.class.iter().map(|class| class.name.clone()).collect()
     }
@@ -172,8 +173,8 @@
             let endpoints = draw_endpoints(kind, scenario.zones.len(), last_endpoint, rng);
             last_endpoint += endpoints.len() as u32;
             let rate = draw_between(rng, kind.rate);
-            let service_time_factor =
-                LogNormal::new(0.0, SERVICE_TIME_SPREAD).map_or(1.0, |distribution| distribution.sample(rng));
+            let service_time_factor = LogNormal::new(0.0, SERVICE_TIME_FACTOR_SIGMA)
+                .map_or(1.0, |distribution| distribution.sample(rng));
             destinations.push(SimulatedDestination {
                 destination: destinations.len() as u32,
                 kind: number,
--- a/crates/scenario/src/fleet/model.rs
+++ b/crates/scenario/src/fleet/model.rs
@@ -8,10 +8,10 @@
     ClassWork, DestinationKind, EndpointSimulator, RecoveryModel, RetryAfterRange,
 };
 
-/// The simulated capacity right after an outage, as a multiple of the one that couriers are configured with.
-/// The reserve makes the simulator somewhat more robust than the rules require.
-const SIMULATOR_RESERVE: f64 = 1.1;
-/// Separates the random numbers of the simulator from those of the fleet.
+/// The simulated slow-start ratio divided by the one that couriers are configured with. The headroom makes
+/// simulated endpoints tolerate somewhat more calls after an outage than the rules require.
+const SLOW_START_HEADROOM: f64 = 1.1;
+/// Makes the random numbers of the simulator independent of those of the fleet.
 const SIMULATOR_SALT: u64 = 0x5eed;
 
 impl Fleet {
@@ -19,7 +19,7 @@
     pub fn invariants(&self, timebase: Timebase) -> Invariants {
         let rules = &self.scenario.rules;
         Invariants {
-            classes: self.scenario.class.iter().map(checked_class).collect(),
+            classes: self.scenario.class.iter().map(conformance_class).collect(),
             answer_grace: millis(rules.answer_grace_ms),
             drain_grace: millis(rules.drain_grace_ms),
             key_cooldown: millis(rules.key_cooldown_ms),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns the additional one-way delay if all faults that slow links are in force at once.
+    /// Returns the largest additional one-way delay: the sum over all faults that slow links.
     fn extra_link_delay(&self) -> Time {
         let slow_links = self.scenario.faults.iter().filter(|fault| fault.what == FaultKind::LinksSlow);
         slow_links.map(|fault| millis(fault.size)).sum()
@@ -40,7 +40,7 @@
     pub fn endpoint_simulator(&self) -> EndpointSimulator {
         let rules = &self.scenario.rules;
         let recovery = RecoveryModel {
-            slow_start_ratio: rules.slow_start_ratio * SIMULATOR_RESERVE,
+            slow_start_ratio: rules.slow_start_ratio * SLOW_START_HEADROOM,
             slow_start_duration: seconds(rules.slow_start_duration_s),
             overload_ratio: rules.overload_ratio,
             overload_window: seconds(rules.overload_window_s),
@@ -65,7 +65,7 @@
     }
 }
 
-fn checked_class(class: &Class) -> conformance::Class {
+fn conformance_class(class: &Class) -> conformance::Class {
     conformance::Class {
         name: class.name.clone(),
         latency_objective: seconds(class.latency_objective_s),
--- a/crates/scenario/src/fleet/settings.rs
+++ b/crates/scenario/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The settings documents of couriers.
+//! The settings documents that couriers receive on their control interface.
 
 use super::Fleet;
 use crate::scenario::{Class, IdempotencyKind, Kind};
@@ -46,14 +46,15 @@
         })
     }
 
-    /// Returns the limits of a courier, computed from its part of the full load.
+    /// Returns the limits of a courier. Its load, in messages per second, is an equal part of the full load.
+    /// The attempts in flight at that load are, by Little's law, load times mean service time.
     fn limit_settings(&self) -> Value {
         let scenario = &self.scenario;
         let limits = &scenario.courier;
         let load = self.full_load / f64::from(scenario.couriers);
-        let all_shares: f64 = scenario.class.iter().map(|class| class.share).sum();
+        let share_sum: f64 = scenario.class.iter().map(|class| class.share).sum();
         let mean_service_seconds: f64 =
-            scenario.class.iter().map(|class| class.share / all_shares * class.service_ms / 1e3).sum();
+            scenario.class.iter().map(|class| class.share / share_sum * class.service_ms / 1e3).sum();
         let slots = (load * mean_service_seconds * limits.slot_ratio).ceil() as u32;
         let in_flight = (load * limits.in_flight_s).ceil() as u32;
         json!({
--- a/crates/scenario/src/fleet/traffic.rs
+++ b/crates/scenario/src/fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! The messages of a fleet: drawn at random times, with the bursts, sudden load and hot destinations of the
+//! The messages of a fleet: Poisson arrivals and bursts, with the sudden load and the hot destinations of the
 //! scenario.
 
 use super::{draw_between, Fleet, PlannedMessage};
@@ -8,13 +8,13 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
-/// Range of a destination's traffic, relative to its part of all limits.
+/// Range of the uniform factor between a destination's rate limit and its weight in the traffic.
 const WEIGHT_RANGE: [f64; 2] = [0.7, 1.3];
-/// Largest fraction of messages in bursts.
+/// Largest fraction of messages that arrive in bursts.
 const MAX_BURST_SHARE: f64 = 0.95;
-/// The messages of a burst arrive within this fraction of the time that their destination needs for them.
+/// The messages of a burst arrive within this fraction of the time in which their destination admits as many.
 const BURST_COMPRESSION: f64 = 0.05;
-/// Least rate, in messages per second; it keeps the distribution valid.
+/// Least rate, in messages per second; it keeps the exponential distribution valid.
 const MIN_RATE: f64 = 1e-9;
 
 /// Draws all messages, in the order of their times.
@@ -30,13 +30,14 @@
 struct TrafficGenerator<'a> {
     fleet: &'a Fleet,
     rng: &'a mut ChaCha8Rng,
-    /// Relative traffic of each destination, by position.
+    /// Relative traffic of each destination, indexed by position.
     weights: Vec<f64>,
     weight_sum: f64,
     /// Positions of the destinations in descending order of their traffic.
     by_weight: Vec<usize>,
-    /// Messages per second, without sudden load.
+    /// Mean messages per second, in bursts and outside of them, without sudden load.
     rate: f64,
+    /// The fraction of messages that arrive in bursts.
     burst_share: f64,
     messages: Vec<PlannedMessage>,
 }
@@ -62,23 +63,24 @@
         }
     }
 
-    /// Draws single messages: a Poisson process at the highest rate, thinned to the rate of each moment.
+    /// Draws the messages outside of bursts: an inhomogeneous Poisson process, by thinning. Arrivals are
+    /// drawn at the highest rate, and each is kept with the probability `rate at this time / highest rate`.
     fn draw_single_messages(&mut self) {
         let highest_factor = self.highest_load_factor();
         let highest_rate = (self.rate * highest_factor).max(MIN_RATE);
-        let Ok(distance) = Exp::new(highest_rate) else { return };
-        let mut at = distance.sample(self.rng);
+        let Ok(interarrival) = Exp::new(highest_rate) else { return };
+        let mut at = interarrival.sample(self.rng);
         while at < self.fleet.scenario.seconds {
             let acceptance = self.load_factor(at) * (1.0 - self.burst_share);
             if self.rng.random::<f64>() * highest_factor < acceptance {
                 let destination = self.draw_destination_at(at);
                 self.add_message(at, destination);
             }
-            at += distance.sample(self.rng);
+            at += interarrival.sample(self.rng);
         }
     }
 
-    /// Draws bursts, each as large as the number of calls that its destination admits in the burst duration.
+    /// Draws bursts of `rate limit * burst_s` messages, each for one destination at a uniform time.
     fn draw_bursts(&mut self) {
         let scenario = &self.fleet.scenario;
         let burst_seconds = scenario.traffic.burst_s;
@@ -103,19 +105,19 @@
         faults.filter(move |fault| fault.what == kind && at >= fault.at && at < fault.at + fault.lasts)
     }
 
-    /// Returns the factor by which sudden load raises the rate at this time.
+    /// Returns the factor by which sudden load multiplies the rate at this time.
     fn load_factor(&self, at: f64) -> f64 {
         self.in_force(FaultKind::SuddenLoad, at).map(|fault| fault.size).product()
     }
 
-    /// Returns the factor if all sudden load were in force at once.
+    /// Returns an upper bound of the load factor: the one if all sudden load were in force at once.
     fn highest_load_factor(&self) -> f64 {
         let faults = self.fleet.scenario.faults.iter();
         let sudden_load = faults.filter(|fault| fault.what == FaultKind::SuddenLoad);
         sudden_load.map(|fault| fault.size.max(1.0)).product()
     }
 
-    /// Draws the position of a destination in proportion to its traffic.
+    /// Draws the position of a destination with a probability in proportion to its weight.
     fn draw_destination(&mut self) -> usize {
         let mut left = self.rng.random::<f64>() * self.weight_sum;
         let found = self.weights.iter().position(|weight| {
@@ -125,7 +127,7 @@
         found.unwrap_or(0)
     }
 
-    /// Draws the position of a destination, with the hot destinations of this time.
+    /// Draws the position of a destination, taking into account hot destinations at this time.
     fn draw_destination_at(&mut self, at: f64) -> usize {
         let Some(hot) = self.in_force(FaultKind::HotDestinations, at).next() else {
             return self.draw_destination();
@@ -153,8 +155,8 @@
 
     fn draw_class(&mut self) -> usize {
         let classes = &self.fleet.scenario.class;
-        let all_shares = classes.iter().map(|class| class.share).sum::<f64>();
-        let mut left = self.rng.random::<f64>() * all_shares;
+        let share_sum = classes.iter().map(|class| class.share).sum::<f64>();
+        let mut left = self.rng.random::<f64>() * share_sum;
         let found = classes.iter().position(|class| {
             left -= class.share;
             left < 0.0
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,9 +1,9 @@
 //! Scenarios and their execution, independent of the transport that carries the bytes.
 //!
-//! A [`scenario`] is a document; a [`fleet`] is drawn from it and a seed; the [`runner`] plays everything
-//! that is not a courier: clients, endpoints, the publisher of the endpoint list, and the faults. The runner
-//! holds no socket and no clock, so the same code surrounds real couriers on sockets and emulated ones in
-//! virtual time.
+//! A [`scenario`] is a document; a [`fleet`] is drawn from it and a seed; the [`runner`] simulates everything
+//! around the couriers: clients, endpoints, the publisher of the endpoint list, and the faults. The runner
+//! uses neither sockets nor clocks, so the same code runs with courier processes on sockets and with emulated
+//! couriers in virtual time.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenario documents: fleet, traffic and faults as data, read from TOML.
 //!
-//! The keys of the documents are part of their format and stay as they are, also where a field has another
-//! name. Durations are in seconds or milliseconds, as the suffix of the name says.
+//! The keys of the documents are a stable format, so a renamed field keeps its key by `serde(rename)`.
+//! Durations are in seconds or milliseconds, as the suffix of the name says.
 
 mod built_in;
 mod defaults;
@@ -40,10 +40,10 @@
     /// How clients connect and retry.
     #[serde(default)]
     pub clients: Clients,
-    /// The limits of each courier.
+    /// The limits and timeouts of each courier.
     #[serde(default)]
     pub courier: CourierBounds,
-    /// Parameters of the delivery rules.
+    /// Parameters of the rules that the conformance checks verify.
     #[serde(default)]
     pub rules: Rules,
     /// How the endpoint list is delivered to couriers.
@@ -61,7 +61,7 @@
 }
 
 impl Scenario {
-    /// Returns the built-in scenario of this name, or reads the file of this path.
+    /// Returns the built-in scenario of this name, or else reads the scenario from the file of this path.
     pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
         if let Some(built_in) = built_in::find(name) {
             let in_built_in = |source| ScenarioError::BuiltIn { name: name.to_owned(), source };
@@ -81,13 +81,13 @@
         Ok(scenario)
     }
 
-    /// Returns the kinds of the scenario's faults that can only be emulated, not injected on sockets.
+    /// Returns the kinds of the scenario's faults that only the emulator can inject, not a run on sockets.
     pub fn emulated_only(&self) -> Vec<FaultKind> {
         let kinds = self.faults.iter().map(|fault| fault.what);
         kinds.filter(|kind| kind.emulated_only()).collect()
     }
 
-    /// Returns the scenario with another number of couriers, if one is given, sped up by the factor `speed`.
+    /// Returns the scenario with this number of couriers, if given, and sped up by the factor `speed`.
     pub fn with(mut self, couriers: Option<u32>, speed: f64) -> Result<Scenario, ScenarioError> {
         if !(speed > 0.0 && speed <= 100.0) {
             return Err(ScenarioError::invalid("speed", "more than 0 and at most 100"));
--- a/crates/scenario/src/scenario/built_in.rs
+++ b/crates/scenario/src/scenario/built_in.rs
@@ -1,9 +1,9 @@
-//! The scenarios that come with the program.
+//! The scenarios that are compiled into the program.
 
-/// A scenario that comes with the program.
+/// A scenario that is compiled into the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BuiltInScenario {
-    /// The name.
+    /// The name, which is also the `name` in the document.
     pub name: &'static str,
     /// The TOML document.
     pub text: &'static str,
--- a/crates/scenario/src/scenario/defaults.rs
+++ b/crates/scenario/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! Default values of scenario documents.
+//! Default values for keys that a scenario document leaves out.
 
 use super::{Class, IdempotencyKind, Kind};
 use linnetcart_endpoint_model::LimitKind;
--- a/crates/scenario/src/scenario/faults.rs
+++ b/crates/scenario/src/scenario/faults.rs
@@ -9,12 +9,13 @@
 pub struct FaultSpec {
     /// The kind of fault.
     pub what: FaultKind,
-    /// When the fault begins, in seconds.
+    /// When the fault begins, in seconds after the start of the run.
     pub at: f64,
     /// How long the fault lasts, in seconds.
     #[serde(rename = "for")]
     pub lasts: f64,
-    /// The fraction of the traffic, or of the couriers, that is affected.
+    /// The affected fraction: of the traffic for faults of destinations, of the couriers for faults of
+    /// couriers.
     #[serde(default = "defaults::fault_part")]
     pub part: f64,
     /// The size of the fault; its meaning depends on the kind.
@@ -23,7 +24,7 @@
     /// A second parameter; its meaning depends on the kind.
     #[serde(default)]
     pub extra: f64,
-    /// Selects the harder form of a kind, for example unanswered calls instead of errors.
+    /// Selects a more severe variant of the kind, for example unanswered calls instead of errors.
     #[serde(default)]
     pub hard: bool,
 }
@@ -32,59 +33,61 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Calls fail quickly; size: the fraction that fails.
+    /// Calls are answered quickly with an error; size: the fraction of the calls.
     Errors,
-    /// Destinations reject everything.
+    /// Destinations reject every call.
     Shut,
     /// Endpoints accept calls and answer none.
     Silent,
-    /// Endpoints are slower; size: the factor.
+    /// Endpoints are slower; size: the factor of their service times.
     Slow,
-    /// All calls are slower; size: the factor.
+    /// All endpoints are slower, whatever `part` is; size: the factor of their service times.
     SharedSlow,
     /// Calls are executed but not answered; size: the fraction.
     AnswersLost,
-    /// Limits are lowered; size: the fraction that remains.
+    /// The rates of limits are lowered; size: the fraction that remains.
     Throttle,
-    /// Endpoints are drained and replaced in batches; size: the fraction per batch; extra: seconds of
-    /// draining.
+    /// Endpoints are drained and replaced in batches; size: the fraction of the endpoints in a batch; extra:
+    /// seconds from the publication of the drain to the removal of the endpoint.
     Drains,
     /// Endpoints answer nothing, not even connection attempts.
     Vanish,
-    /// Endpoints refuse connections and break existing ones.
+    /// Endpoints refuse connections and reset existing ones.
     Down,
     /// Endpoints pause repeatedly; size: milliseconds of a pause; extra: period of the pauses in seconds.
     Pauses,
     /// Clients submit more messages; size: the factor.
     SuddenLoad,
-    /// A few destinations receive more messages; size: their fraction of all messages; extra: their number.
+    /// The destinations with the most traffic receive more messages; size: the fraction of all messages that
+    /// goes to them in addition; extra: their number.
     HotDestinations,
-    /// One courier receives more messages; size: its fraction of all messages.
+    /// One courier receives more messages; size: the fraction of the messages without ordering key that goes
+    /// to it in addition.
     UnevenCouriers,
-    /// Couriers are killed; size: seconds until they restart.
+    /// Couriers are killed once; size: seconds until they restart.
     CouriersKilled,
-    /// Couriers are restarted one after the other; size: seconds of downtime.
+    /// Rolling restart: couriers are killed one after the other; size: seconds until each restarts.
     CouriersRolled,
-    /// Couriers are suspended repeatedly; size: milliseconds of a stall; extra: period of a courier's stalls
-    /// in seconds.
+    /// Courier processes are suspended repeatedly; size: milliseconds of a stall; extra: period of each
+    /// courier's stalls in seconds.
     CouriersStall,
-    /// The endpoint list is delayed; size: additional seconds.
+    /// Changes of the endpoint list are published later; size: additional seconds.
     ListLate,
-    /// The endpoint list is not published.
+    /// Changes of the endpoint list are not published until the fault ends.
     ListOut,
-    /// Connections that were idle are dropped silently; size: seconds of idleness; hard: they are reset at
-    /// the next call instead.
+    /// Endpoints drop idle connections without notice and ignore what arrives on them; size: idle timeout in
+    /// seconds; hard: the connection is reset at the next call instead.
     IdleDropped,
-    /// One class fails at one of several endpoints; size: the fraction; extra: the class; hard: its messages
-    /// are not answered.
+    /// Messages of one class fail at one endpoint of each destination that has several; size: the fraction
+    /// that fails; extra: the class number; hard: failing messages are not answered.
     ClassFails,
-    /// New connections take longer; size: milliseconds.
+    /// Endpoints accept connections later; size: milliseconds.
     SlowConnect,
-    /// Couriers are cut off; extra: 0 from endpoints, 1 from clients, 2 from both; hard: only in the
-    /// direction to the couriers. Emulated only.
+    /// Couriers are cut off: the network holds data back until the fault ends; extra: 0 from endpoints, 1
+    /// from clients, 2 from both; hard: only in the direction to the couriers. Emulated only.
     Partition,
-    /// Connections of couriers break repeatedly, with data under way; size: the fraction that breaks; extra:
-    /// period in seconds. Emulated only.
+    /// Connections of couriers break repeatedly, with data in flight; size: the fraction of the
+    /// connections; extra: period in seconds. Emulated only.
     LinksCut,
     /// Data from and to couriers takes longer; size: additional milliseconds each way. Emulated only.
     LinksSlow,
@@ -94,7 +97,7 @@
 }
 
 impl FaultKind {
-    /// Returns whether the kind can only be emulated, not injected on sockets.
+    /// Returns whether only the emulator can inject the kind, not a run on sockets.
     pub fn emulated_only(self) -> bool {
         matches!(
             self,
--- a/crates/scenario/src/scenario/sections.rs
+++ b/crates/scenario/src/scenario/sections.rs
@@ -1,4 +1,4 @@
-//! The sections of a scenario document. Where a field is renamed, the name in `rename` is the key of the
+//! The sections of a scenario document. Where a field has a `serde(rename)`, the name in it is the key of the
 //! document.
 
 use super::defaults;
@@ -9,15 +9,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Messages submitted, as a fraction of the calls that all limits admit.
+    /// Submission rate of messages, divided by the rate that all limits together admit.
     pub load: f64,
-    /// The fraction of messages that arrive in bursts for one destination.
+    /// The fraction of messages that arrive in bursts, each for one destination.
     #[serde(rename = "clumps")]
     pub burst_share: f64,
-    /// Size of a burst, as the time in which its destination admits as many calls.
+    /// Size of a burst in seconds: it has `rate limit * burst_s` messages.
     #[serde(rename = "clump_s")]
     pub burst_s: f64,
-    /// Number of ordering keys.
+    /// Number of different ordering keys; 0 for messages without keys.
     pub keys: u32,
 }
 
@@ -33,14 +33,15 @@
 pub struct Clients {
     /// How many times a client retries a rejected message.
     pub retries: u32,
-    /// Shortest and longest delay before a retry.
+    /// Range from which the delay before a retry is drawn uniformly.
     #[serde(rename = "again_ms")]
     pub retry_delay_ms: [f64; 2],
-    /// Most connections of the clients to each courier, not counting those of ordering keys. Answers go in
-    /// order on a connection, so with few of them messages wait for each other.
+    /// Most connections of the clients to each courier, not counting those of ordering keys. Answers on a
+    /// connection are sent in the order of the requests, so with few connections an unanswered message delays
+    /// the answers to those behind it (head-of-line blocking).
     pub connections: usize,
-    /// A client without an answer after this time closes its connection and submits to another courier what
-    /// may be submitted again; 0 for as long as it takes.
+    /// A client without an answer after this time closes its connection, and submits to another courier the
+    /// messages that may be submitted again; 0 for no timeout.
     #[serde(rename = "patience_s")]
     pub answer_timeout_s: f64,
     /// The most by which any two clocks of clients and couriers differ.
@@ -60,20 +61,21 @@
     }
 }
 
-/// The limits of a courier, relative to its part of the full load.
+/// The limits and timeouts of a courier. Its load is the rate that all limits together admit, divided by the
+/// number of couriers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CourierBounds {
-    /// Attempt slots, as a multiple of those that are busy at full load.
+    /// Attempt slots, as a multiple of those busy at full load by Little's law: load times mean service time.
     #[serde(rename = "slots_room")]
     pub slot_ratio: f64,
     /// Least number of attempt slots.
     #[serde(rename = "least_slots")]
     pub min_slots: u32,
-    /// Most messages in flight, as the time in which they arrive at full load.
+    /// Most messages in flight, as the time in which that many arrive at full load.
     #[serde(rename = "hold_s")]
     pub in_flight_s: f64,
-    /// Least limit of messages in flight.
+    /// Least value of the limit of messages in flight.
     #[serde(rename = "least_held")]
     pub min_in_flight: u32,
     /// Most attempts for one message.
@@ -104,29 +106,30 @@
     }
 }
 
-/// Parameters of the delivery rules.
+/// Parameters of the rules that the conformance checks verify. Except for the drain grace, couriers are
+/// configured with the same values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
     /// How long after the deadline a final answer may be sent.
     #[serde(rename = "answer_slack_ms")]
     pub answer_grace_ms: f64,
-    /// How long a courier may send new work to a draining endpoint.
+    /// How long a courier may still send new work to an endpoint after it was notified that it is draining.
     pub drain_grace_ms: f64,
-    /// The fraction of the capacity that is available right after an outage.
+    /// Slow start: the fraction of the capacity that is available right after an outage.
     #[serde(rename = "cold_share")]
     pub slow_start_ratio: f64,
-    /// Duration of the recovery ramp, after which the full capacity is available.
+    /// Slow start: duration of the linear ramp, after which the full capacity is available.
     #[serde(rename = "warm_after_s")]
     pub slow_start_duration_s: f64,
-    /// A destination in slow start is overloaded by more than this multiple of its capacity within one
-    /// window.
+    /// A destination in slow start is overloaded if the calls of one window exceed this multiple of the
+    /// calls that its available capacity serves in that time.
     #[serde(rename = "fall_multiple")]
     pub overload_ratio: f64,
-    /// Length of that window.
+    /// Length of the sliding overload window.
     #[serde(rename = "fall_span_s")]
     pub overload_window_s: f64,
-    /// Cooldown of an ordering key after an attempt that may still be running.
+    /// How long no message of an ordering key is sent after an attempt that may still be running.
     #[serde(rename = "key_rest_ms")]
     pub key_cooldown_ms: f64,
 }
@@ -149,7 +152,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointListDelivery {
-    /// Delay between a change and its publication.
+    /// Delay between a change of an endpoint and its publication.
     #[serde(rename = "late_s")]
     pub delay_s: f64,
     /// Whether the list contains the rates of destinations.
@@ -166,27 +169,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The name.
+    /// The name, which is also the topic of its messages.
     pub name: String,
-    /// Relative share of the messages.
+    /// Relative frequency: the class has `share / sum of all shares` of the messages.
     pub share: f64,
-    /// Usual service time.
+    /// Mean service time.
     pub service_ms: f64,
     /// Latency objective. A message served within it has its full weight.
     #[serde(rename = "aim_s")]
     pub latency_objective_s: f64,
-    /// How long a message may be served after its submission.
+    /// How long after its submission a message may be served.
     pub deadline_s: f64,
     /// Weight of a message served within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The fraction of the weight that remains at the deadline.
+    /// The fraction of the weight of a message that is served at its deadline.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
     /// What a second execution of a message does.
     #[serde(rename = "repeat")]
     pub idempotency: IdempotencyKind,
-    /// For keyed messages: how long endpoints recognize a key.
+    /// For keyed messages: how long endpoints recognize a key after the execution that took effect.
     #[serde(rename = "window_s", default)]
     pub dedup_window_s: f64,
     /// For keyed messages: whether only the endpoints of one zone share their keys.
@@ -197,14 +200,14 @@
     pub ordered: bool,
 }
 
-/// What a second execution does.
+/// What a second execution of a message does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum IdempotencyKind {
     /// It does no harm.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It is recognized by its key and dropped, within a window.
+    /// Endpoints recognize it by its idempotency key within a window, and drop it.
     Keyed,
     /// It takes effect a second time.
     #[serde(rename = "unsafe")]
@@ -223,22 +226,22 @@
     pub endpoints: [u32; 2],
     /// Calls per second that each destination admits, or each of its routes where these are independent.
     pub rate: [f64; 2],
-    /// What the destinations limit.
+    /// The quota by which the destinations limit calls.
     #[serde(default = "defaults::rate_limit")]
     pub limit: LimitKind,
-    /// Whether rejected calls use up the limit.
+    /// Whether rejected calls use up the quota too.
     #[serde(rename = "refused_count", default)]
     pub rejected_calls_count: bool,
-    /// The fraction of rejections with a Retry-After.
+    /// Probability that a rejection carries a Retry-After.
     #[serde(rename = "tells_wait", default = "defaults::retry_after_share")]
     pub retry_after_probability: f64,
-    /// The Retry-After of a plain rate limit.
+    /// Range of the Retry-After where `limit` is a rate, which is a token bucket.
     #[serde(rename = "wait_ms", default = "defaults::retry_after_ms")]
     pub retry_after_ms: [f64; 2],
-    /// Capacity as a multiple of the limit.
+    /// Service capacity divided by the admitted rate.
     #[serde(rename = "spare", default = "defaults::capacity_ratio")]
     pub capacity_ratio: f64,
-    /// How long a call may wait in the queue of its destination.
+    /// Longest queueing delay: a call that would wait longer is rejected.
     #[serde(rename = "depth_ms", default = "defaults::queue_ms")]
     pub longest_queue_ms: f64,
     /// Coefficient of variation of the service times: standard deviation divided by mean.
@@ -247,13 +250,13 @@
     /// Most connections that an endpoint accepts; 0 for any number.
     #[serde(rename = "connections", default)]
     pub max_connections: usize,
-    /// Whether endpoints are independent routes, each with a limit of its own.
+    /// Whether endpoints are independent routes, each with a limit of its own, instead of sharing one.
     #[serde(rename = "routes_apart", default)]
     pub independent_routes: bool,
     /// Most messages in one call.
     #[serde(rename = "per_call", default = "defaults::messages_per_call")]
     pub max_messages_per_call: u32,
-    /// Work of each additional message in a call, as a fraction of the work of the first.
+    /// Capacity that each additional message in a call takes up, as a fraction of that of the first.
     #[serde(rename = "item_cost", default = "defaults::additional_message_work")]
     pub additional_message_work: f64,
     /// Interval at which the load reported in answers is updated; 0 for no reports.
--- a/crates/scenario/src/scenario/speed.rs
+++ b/crates/scenario/src/scenario/speed.rs
@@ -1,4 +1,6 @@
-//! Speeding up a scenario: durations are divided and rates multiplied by the same factor.
+//! Speeding up a scenario: durations are divided and rates multiplied by the same factor, so that the number
+//! of messages stays about the same. The connect timeout, the grace for answers, the time between
+//! decision cycles and the clock differences keep their values.
 
 use super::{Class, Clients, CourierBounds, FaultKind, FaultSpec, Kind, Rules, Scenario};
 use linnetcart_endpoint_model::LimitKind;
@@ -7,7 +9,7 @@
 const MIN_WINDOW_MS: u64 = 10;
 
 impl Scenario {
-    /// Returns the scenario sped up by this factor.
+    /// Returns the scenario sped up by this factor: it takes `seconds / speed`.
     pub fn faster(mut self, speed: f64) -> Scenario {
         self.seconds /= speed;
         self.list.delay_s /= speed;
--- a/crates/scenario/src/units.rs
+++ b/crates/scenario/src/units.rs
@@ -1,4 +1,4 @@
-//! Conversion of the durations in scenario documents to [`Time`].
+//! Conversion of the durations in scenario documents to [`Time`], which is in nanoseconds.
 
 use linnetcart_conformance::Time;
 
--- a/crates/scenario/tests/fleet.rs
+++ b/crates/scenario/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets that are drawn from a scenario and a seed.
+//! Fleets drawn from a scenario and a seed: reproducibility, amount of traffic, and courier settings.
 
 use linnetcart_edge::settings::Settings;
 use linnetcart_scenario::fleet::Fleet;
--- a/crates/scenario/tests/report.rs
+++ b/crates/scenario/tests/report.rs
@@ -1,4 +1,4 @@
-//! The JSON of a conformance report: other programs and earlier recordings use its field names.
+//! Field names in the JSON of a conformance report. Other programs and stored reports depend on them.
 
 use linnetcart_conformance::{check, Records};
 use linnetcart_scenario::fleet::{Fleet, Timebase};
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario documents: built-in and invalid ones, their keys, and faster scenarios.
+//! Scenario documents: built-in and invalid ones, their keys, and scenarios that are sped up.
 
 use linnetcart_scenario::scenario::{Scenario, BUILT_IN};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
     assert_eq!(fast.class[0].deadline_s * 4.0, scenario.class[0].deadline_s);
 }
 
-/// The keys of a section, in alphabetical order.
+/// Returns the keys of a section, in alphabetical order.
 fn keys(section: &serde_json::Value) -> Vec<&str> {
     let mut keys: Vec<&str> = section.as_object().expect("a section").keys().map(String::as_str).collect();
     keys.sort_unstable();
