--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -1,10 +1,10 @@
-//! Runs everything of a scenario that is not a courier: clients, endpoints, the publisher of the endpoint
+//! Simulates everything around the couriers of a scenario: clients, endpoints, the publisher of the endpoint
 //! list, and the faults.
 //!
 //! The owner of the runner passes in received bytes, connection events and clock readings. The runner calls
 //! the [`Transport`] to send, open and close, and to control couriers, and it records all traffic for the
-//! conformance checks. It never reads a clock, and knows of couriers only what clients, endpoints and the
-//! control interface see.
+//! conformance checks. It never reads a clock, and treats couriers as black boxes: it sees only what clients,
+//! endpoints and the control interface see.
 
 mod clients;
 mod couriers;
@@ -30,10 +30,10 @@
 
 /// Longest frame that clients and endpoints accept, in bytes.
 const MAX_FRAME_BYTES: usize = 4 << 20;
-/// How long after the last deadline a run waits for outstanding answers.
+/// How long after the last deadline a run waits for outstanding answers, in nanoseconds.
 const LAST_ANSWER_GRACE: Time = 1_000_000_000;
 
-/// A connection whose peer is played by the runner.
+/// A connection of a courier, whose other end the runner simulates.
 enum Connection {
     /// From a courier to an endpoint.
     Endpoint(EndpointConnection),
@@ -46,7 +46,7 @@
 pub struct ScenarioRecords {
     /// The records for the conformance checks.
     pub records: Records,
-    /// Limits that were overloaded during their recovery ramp.
+    /// Limits that were overloaded during their slow start.
     pub overloads: Vec<Overload>,
 }
 
@@ -59,15 +59,17 @@
     pub transport: T,
 }
 
-/// Runs everything of a scenario that is not a courier.
+/// Simulates everything around the couriers of a scenario.
 pub struct ScenarioRunner<'a, T> {
     fleet: &'a Fleet,
     /// Carries the bytes and runs the couriers.
     pub transport: T,
+    /// The clock of the run, in nanoseconds since [`ScenarioRunner::start_traffic`].
     now: Time,
     timers: TimerQueue,
     simulator: EndpointSimulator,
     connections: BTreeMap<Token, Connection>,
+    /// Calls without an answer, by the numbers that the simulator assigned.
     calls: BTreeMap<u64, OpenCall>,
     endpoint_list: EndpointList,
     couriers: Vec<CourierProcess>,
@@ -75,7 +77,7 @@
     notifications: Vec<EndpointNotification>,
     stalls: Vec<Stall>,
     partitions: Vec<Partition>,
-    /// The destinations that each fault affects, drawn when it begins.
+    /// The destinations that each fault affects, drawn when it begins; by its position in the scenario.
     affected_destinations: BTreeMap<usize, Vec<u32>>,
 }
 
@@ -110,8 +112,8 @@
         Ok(runner)
     }
 
-    /// Returns whether every courier has its settings and the complete endpoint list, and its clients are
-    /// connected.
+    /// Returns whether every courier has its settings, the complete endpoint list and at least one client
+    /// connection, and all client connections are established.
     pub fn ready(&self) -> bool {
         let is_connected = |token: &Token| match self.connections.get(token) {
             Some(Connection::Client(connection)) => connection.connected,
@@ -124,7 +126,7 @@
         })
     }
 
-    /// Begins the run: sets its clock to zero and schedules messages and faults.
+    /// Begins the traffic: sets the clock to zero, and schedules all messages and faults.
     pub fn start_traffic(&mut self) {
         self.now = 0;
         self.notifications.clear();
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Returns whether all messages are submitted and answered, or the time for their answers is over.
+    /// Returns whether all messages are submitted and answered, or the time for outstanding answers is over.
     pub fn finished(&self) -> bool {
         let scenario = &self.fleet.scenario;
         let end = seconds(scenario.seconds);
@@ -147,13 +149,13 @@
         self.now > end && (all_answered || self.now > last_deadline + LAST_ANSWER_GRACE)
     }
 
-    /// Returns the clock of the run, in nanoseconds.
+    /// Returns the clock of the run, in nanoseconds since [`ScenarioRunner::start_traffic`].
     pub fn now(&self) -> Time {
         self.now
     }
 
     /// Returns the number of submissions that wait for an answer.
-    pub fn open(&self) -> usize {
+    pub fn awaiting_answer(&self) -> usize {
         self.clients.awaiting_answer
     }
 
@@ -174,7 +176,7 @@
         FinishedRun { records: ScenarioRecords { records, overloads }, transport: self.transport }
     }
 
-    /// Sets the clock of the run.
+    /// Sets the clock of the run, in nanoseconds since [`ScenarioRunner::start_traffic`].
     pub fn clock(&mut self, now: Time) {
         self.now = now;
     }
@@ -214,7 +216,7 @@
         self.timers.schedule(self.now + delay, timer);
     }
 
-    /// Handles the establishment of a client connection.
+    /// Handles the establishment of a client connection, and sends the requests that waited for it.
     pub fn connected(&mut self, token: Token) {
         if let Some(Connection::Client(connection)) = self.connections.get_mut(&token) {
             connection.connected = true;
@@ -236,7 +238,7 @@
     /// Handles a connection that ended or could not be established.
     pub fn disconnected(&mut self, token: Token) {
         match self.connections.remove(&token) {
-            Some(Connection::Endpoint(connection)) => self.release_endpoint(&connection),
+            Some(Connection::Endpoint(connection)) => self.release_connection(&connection),
             Some(Connection::Client(connection)) => {
                 let courier = &mut self.couriers[connection.courier as usize];
                 if courier.incarnation == connection.incarnation {
--- a/crates/scenario/src/runner/clients.rs
+++ b/crates/scenario/src/runner/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: they submit messages, wait for the answers, and retry. A client knows only what it sent and what
-//! it was answered, and nothing of what was executed.
+//! Clients: they submit messages, wait for the answers, and retry. A client knows only what it sent and how
+//! it was answered, not whether a message was executed.
 
 mod answers;
 mod connection;
@@ -15,16 +15,17 @@
 use std::collections::BTreeMap;
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// Separates the random numbers of clients from those of the fleet.
+/// Makes the random numbers of clients independent of those of the fleet.
 const CLIENT_SALT: u64 = 0x1ab;
-/// Separates the random numbers of the clients' clocks from all others.
+/// Makes the random numbers of the clients' clocks independent of all others.
 const CLOCK_SALT: u64 = 0xc11c;
 
 /// A courier that receives more messages than the others.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FavouredCourier {
     pub(super) courier: u32,
-    /// The fraction of all messages that goes to the courier in addition to its usual part.
+    /// The fraction of the messages without ordering key that goes to the courier in addition to its equal
+    /// part of the others.
     pub(super) share: f64,
 }
 
@@ -37,16 +38,16 @@
     pub(super) stray_answers: u64,
     /// The courier that is favoured at present, if any.
     pub(super) favoured_courier: Option<FavouredCourier>,
-    /// Number of submissions that are scheduled.
+    /// Number of submissions that are scheduled but not made yet.
     scheduled: usize,
-    /// The number of the last attempt of each submitted message.
+    /// The number of the last attempt of each message that was submitted, by position in `Fleet::messages`.
     attempts: BTreeMap<usize, u32>,
-    /// For a message whose connection broke, the courier that its next attempt avoids.
+    /// For each message whose connection broke, the courier that its next attempt avoids.
     avoided_couriers: BTreeMap<usize, u32>,
-    /// How often the messages of an ordering key have migrated to another courier because a connection broke.
+    /// How often each ordering key has moved to another courier because a connection broke.
     key_migrations: BTreeMap<u64, usize>,
     rng: ChaCha8Rng,
-    /// Used for clock offsets only, so that these change no other random number.
+    /// Used for clock offsets only, so that drawing them changes no other random number.
     clock_rng: ChaCha8Rng,
 }
 
@@ -75,7 +76,8 @@
         self.attempts.get(&message).copied().unwrap_or(0)
     }
 
-    /// Chooses the courier for a message among the running ones, of which there is at least one.
+    /// Chooses the courier for a message among the running ones, of which there is at least one. A message
+    /// with an ordering key goes to `running[(key + migrations) % running.len()]`, any other to a random one.
     fn choose_courier(&mut self, message: usize, key: Option<u64>, running: &[u32]) -> u32 {
         if let Some(key) = key {
             let migrations = self.key_migrations.get(&key).copied().unwrap_or(0);
@@ -96,7 +98,8 @@
         running[self.rng.random_range(0..running.len())]
     }
 
-    /// Draws how long a client waits before it submits a message again, from a range in milliseconds.
+    /// Draws how long a client waits before it submits a message again, uniformly from a range in
+    /// milliseconds.
     fn draw_retry_delay(&mut self, [shortest, longest]: [f64; 2]) -> Time {
         millis(shortest + self.rng.random::<f64>() * (longest - shortest))
     }
--- a/crates/scenario/src/runner/clients/answers.rs
+++ b/crates/scenario/src/runner/clients/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, and the retries that follow a rejection.
+//! Answers to clients, and retries after a rejection.
 
 use super::connection::PRODUCE_VERSION;
 use super::NANOS_PER_MILLI;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Records an answer, and retries the message if it was rejected.
+    /// Records an answer, and schedules a retry if the message was rejected.
     fn receive_answer(&mut self, token: Token, frame: &Bytes) {
         let Some(Connection::Client(connection)) = self.connections.get_mut(&token) else { return };
         let Ok(reply) = client::read_produced(frame, PRODUCE_VERSION) else {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Schedules the next attempt of a rejected message, unless its client has no retries left.
+    /// Schedules the next attempt of a rejected message, unless its client has no retries left. The delay is
+    /// at least the Retry-After.
     fn retry_rejected(&mut self, message: usize, retry_after: Time) {
         let clients = &self.fleet.scenario.clients;
         let attempt = self.clients.last_attempt(message);
--- a/crates/scenario/src/runner/clients/connection.rs
+++ b/crates/scenario/src/runner/clients/connection.rs
@@ -10,12 +10,12 @@
 use linnetcart_kafka::{client, Frames, Record, RecordHeader};
 use std::collections::BTreeMap;
 
-/// The client id in the requests of the simulated producers. It is on the wire and in the digests of runs, so
-/// it keeps the name that the program had first.
+/// The client id in the requests of the simulated producers. It is on the wire and thus part of the digests
+/// of runs, so it still has an earlier name of the program.
 const CLIENT_ID: &str = "linnetcart-lab";
-/// The version of Produce that the clients speak.
+/// The API version of the Produce requests.
 pub(super) const PRODUCE_VERSION: i16 = 9;
-/// Acks of a Produce request: the broker answers when the message is delivered.
+/// `acks=all` of a Produce request: the courier answers when the message has its final answer.
 const ACKS_ALL: i16 = -1;
 /// The value of every message.
 const MESSAGE_VALUE: [u8; 120] = [b'x'; 120];
@@ -29,7 +29,7 @@
     pub(in crate::runner) backlog: Vec<Bytes>,
     pub(super) frames: Frames,
     last_correlation: i32,
-    /// Submissions without an answer, by the correlation ids of their requests.
+    /// Positions of the submissions without an answer, by the correlation ids of their requests.
     pub(super) waiting: BTreeMap<i32, usize>,
     /// The sequence number of the last message on the connection.
     pub(super) last_sequence: u64,
@@ -39,11 +39,11 @@
 
 /// A message that a client is about to submit.
 pub(super) struct OutgoingMessage<'a> {
-    /// The number of the message in the plan.
+    /// The position of the message in `Fleet::messages`.
     pub(super) number: usize,
     pub(super) planned: &'a PlannedMessage,
     pub(super) class: &'a Class,
-    /// How long the message may still be served.
+    /// How long the message may still be served, in milliseconds.
     pub(super) time_left_ms: u64,
     /// The true wall-clock time, in nanoseconds since 1970.
     pub(super) wall_clock: Time,
@@ -89,7 +89,7 @@
 }
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Opens another client connection to a courier.
+    /// Opens a new client connection to a courier. Its client has a wall clock with a random offset.
     pub(in crate::runner) fn connect_client(&mut self, courier: u32) -> Token {
         let token = self.transport.connect(courier);
         let process = &mut self.couriers[courier as usize];
--- a/crates/scenario/src/runner/clients/disconnects.rs
+++ b/crates/scenario/src/runner/clients/disconnects.rs
@@ -1,4 +1,4 @@
-//! Broken connections of clients, and what becomes of the messages that were waiting on them.
+//! Broken connections of clients, and the messages that were waiting on them for an answer.
 
 use super::ClientConnection;
 use crate::runner::{ScenarioRunner, Transport};
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Closes the connection of a submission that is still without an answer after the client's timeout.
+    /// Closes the connection of a submission that has no answer when the client's answer timeout fires.
     pub(in crate::runner) fn time_out_answer(&mut self, submission: usize) {
         let submission = &self.clients.submissions[submission];
         let token = submission.position.connection;
@@ -18,10 +18,10 @@
         self.disconnected(token);
     }
 
-    /// Handles the messages that were waiting on a broken client connection. A message that never left the
-    /// client may be submitted to any courier. The others may have been executed: an idempotent message is
-    /// submitted to another courier, a keyed one only if all endpoints share their keys, and one that is not
-    /// idempotent is not submitted again.
+    /// Handles the messages that were waiting on a broken client connection. If the connection was never
+    /// established, all are submitted again. Otherwise they may have been executed: an idempotent message is
+    /// submitted to another courier, a keyed one only if all endpoints of a destination share their keys, and
+    /// one that is not idempotent is not submitted again.
     pub(in crate::runner) fn orphan_submissions(&mut self, connection: ClientConnection) {
         self.migrate_keys(&connection);
         for &position in connection.waiting.values() {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Moves the ordering keys of a broken connection to another courier, so that the messages of a key stay
-    /// together.
+    /// Moves the ordering keys of a broken connection to another courier, so that all further messages of a
+    /// key go to the same courier.
     fn migrate_keys(&mut self, connection: &ClientConnection) {
         let positions = connection.waiting.values();
         let keys: BTreeSet<u64> =
--- a/crates/scenario/src/runner/clients/submissions.rs
+++ b/crates/scenario/src/runner/clients/submissions.rs
@@ -9,9 +9,9 @@
 use crate::units::seconds;
 use linnetcart_conformance::{ConnectionPosition, Submission, Time};
 
-/// How long a client waits before it submits a message again if no courier is running.
+/// How long a client waits before it submits a message again if no courier is running, in nanoseconds.
 const NO_COURIER_DELAY: Time = 200_000_000;
-/// How long a client waits before it submits a message again if it has no connection.
+/// How long a client waits before it submits a message again if it has no connection, in nanoseconds.
 const NO_CONNECTION_DELAY: Time = 100_000_000;
 
 /// Whether a message could be sent on a connection.
@@ -101,7 +101,7 @@
     }
 }
 
-/// The record of a submission that was just made.
+/// Returns the record of a submission that is made now.
 fn submission_record(
     connection: &ClientConnection,
     position: ConnectionPosition,
--- a/crates/scenario/src/runner/couriers.rs
+++ b/crates/scenario/src/runner/couriers.rs
@@ -1,4 +1,4 @@
-//! Courier processes: how they are started, killed, stalled and resumed, and the client connections to them.
+//! Courier processes: starting, killing, stalling and resuming them, and the client connections to them.
 
 use super::{Connection, ScenarioRunner, StoredState, Timer, Token, Transport};
 use crate::error::ScenarioError;
@@ -6,7 +6,7 @@
 use linnetcart_conformance::{Stall, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state of an endpoint in a document for a courier.
+/// The state of an endpoint in an endpoint list document.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointUpdate {
     pub(super) endpoint: u32,
@@ -14,25 +14,26 @@
     pub(super) ready: bool,
 }
 
-/// The state of a courier as its environment sees it.
+/// The state of a courier process, as far as the runner knows it.
 #[derive(Default)]
 pub(super) struct CourierProcess {
     pub(super) running: bool,
+    /// How many times the courier has been killed.
     pub(super) incarnation: u32,
     /// Whether the process is suspended.
     pub(super) stalled: bool,
     /// Connections of clients that are not bound to an ordering key.
     pub(super) connections: Vec<Token>,
-    /// The connection of each ordering key. Answers are ordered within a connection, and so are messages of a
-    /// key.
+    /// The connection of each ordering key. It carries requests and answers in order, as the messages of a
+    /// key are delivered.
     connection_of_key: BTreeMap<u64, Token>,
-    /// Endpoints whose changes the courier has not been notified of.
+    /// Changed endpoints that the courier has not been notified of.
     pub(super) pending_changes: BTreeSet<u32>,
-    /// Whether the courier has not been sent the complete endpoint list.
+    /// Whether this incarnation has not been sent the complete endpoint list yet.
     pub(super) needs_complete_list: bool,
-    /// The contents of the document on its way to the control interface, or `None` if there is no such
-    /// document.
-    pub(super) document_under_way: Option<Vec<EndpointUpdate>>,
+    /// The endpoint states in the document that was sent to the control interface and is not answered yet;
+    /// `None` if there is no such document.
+    pub(super) document_in_flight: Option<Vec<EndpointUpdate>>,
     /// Whether the courier has no settings yet.
     pub(super) needs_settings: bool,
 }
@@ -40,13 +41,13 @@
 impl CourierProcess {
     /// Returns whether the courier has its settings and the complete endpoint list.
     pub(super) fn is_up_to_date(&self) -> bool {
-        self.document_under_way.is_none() && !self.needs_complete_list
+        self.document_in_flight.is_none() && !self.needs_complete_list
     }
 
-    /// Returns whether endpoint changes are pending and no document is under way.
+    /// Returns whether endpoint changes are pending and no document is in flight.
     pub(super) fn can_be_notified(&self) -> bool {
         let has_changes = self.needs_complete_list || !self.pending_changes.is_empty();
-        self.running && self.document_under_way.is_none() && has_changes
+        self.running && self.document_in_flight.is_none() && has_changes
     }
 
     /// Resets the state for a new incarnation.
@@ -54,18 +55,18 @@
         self.running = true;
         self.stalled = false;
         self.needs_settings = stored == StoredState::Missing;
-        self.document_under_way = None;
+        self.document_in_flight = None;
         self.needs_complete_list = true;
         self.connections.clear();
         self.connection_of_key.clear();
     }
 
-    /// Ends the incarnation.
+    /// Resets the state after a kill, and advances to the next incarnation.
     fn on_kill(&mut self) {
         self.running = false;
         self.incarnation += 1;
         self.pending_changes.clear();
-        self.document_under_way = None;
+        self.document_in_flight = None;
     }
 }
 
@@ -77,14 +78,14 @@
         self.couriers[courier as usize].on_start(stored);
         match stored {
             StoredState::Recovered => {
-                // The courier has the endpoint list of its last incarnation and is notified of changes with
-                // the usual delay.
+                // The courier has the endpoint list of its last incarnation, and is notified of changes with
+                // the delay of the list.
                 let delay = self.endpoint_list.delay();
                 self.schedule_after(delay, Timer::CatchUp { courier, incarnation });
                 self.connect_client(courier);
             }
             StoredState::Missing => {
-                // The endpoint list follows when the settings are in force.
+                // The endpoint list follows when the courier has accepted the settings.
                 let settings = self.fleet.settings(courier).to_string();
                 self.put_document(courier, "/settings", settings, Vec::new());
             }
@@ -98,8 +99,9 @@
         numbers.filter(|&courier| self.couriers[courier as usize].running).collect()
     }
 
-    /// Returns the connection for a message: the one of its ordering key, or an idle one, or a new one as
-    /// long as the limit of client connections allows it. Returns `None` if the courier is not running.
+    /// Returns the connection for a message: the one of its ordering key; without a key an idle one, or a new
+    /// one if the limit of client connections allows it, or else the one with the fewest waiting messages.
+    /// Returns `None` if the courier is not running.
     pub(super) fn connection_for(&mut self, courier: u32, key: Option<u64>) -> Option<Token> {
         let process = &self.couriers[courier as usize];
         if !process.running {
@@ -138,7 +140,7 @@
         token
     }
 
-    /// Puts a document to the control interface of a courier; `updates` are the endpoint states in it.
+    /// Sends a document to the control interface of a courier; `updates` are the endpoint states in it.
     pub(super) fn put_document(
         &mut self,
         courier: u32,
@@ -148,7 +150,7 @@
     ) {
         let process = &mut self.couriers[courier as usize];
         if process.running {
-            process.document_under_way = Some(updates);
+            process.document_in_flight = Some(updates);
             self.transport.put(courier, process.incarnation, path, body);
         }
     }
--- a/crates/scenario/src/runner/endpoint_list.rs
+++ b/crates/scenario/src/runner/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which endpoints exist, their states, and how the list describes them.
+//! The endpoint list: the endpoints, their states, and the entries of list documents.
 
 mod changes;
 mod publication;
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state of an endpoint in the list.
+/// The state of an endpoint in the list, as the runner last set it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListedState {
     Ready,
@@ -29,31 +29,33 @@
     }
 }
 
-/// Whether a list document contains the complete list or changes only.
+/// Whether a list document contains the complete list or only changed endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListScope {
     Complete,
     Changes,
 }
 
-/// An endpoint that was opened at some time, including those that are gone.
+/// An endpoint that was opened at some time; it stays in the list when it is gone.
 struct ListEntry {
     destination: u32,
     zone: u8,
     state: ListedState,
+    /// Whether the transport listens for connections to the endpoint.
     listening: bool,
 }
 
-/// All endpoints and the state of their publication.
+/// All endpoints, and the state of the publication of their changes.
 pub(super) struct EndpointList {
     entries: BTreeMap<u32, ListEntry>,
     destinations: BTreeMap<u32, ListedDestination>,
+    /// The number of the next endpoint: one more than the highest in use.
     next_endpoint: u32,
     /// Version of the last document that was sent.
     version: u64,
     /// Delay between a change and its publication, in seconds.
     delay_s: f64,
-    /// While publication is suspended, the endpoints that have changed since.
+    /// The endpoints that have changed since publication was suspended; `None` if it is not suspended.
     unpublished: Option<BTreeSet<u32>>,
 }
 
@@ -86,7 +88,7 @@
         self.entries.get(&endpoint).is_some_and(|entry| entry.state == ListedState::Ready)
     }
 
-    /// Returns the delay between a change and its publication.
+    /// Returns the delay between a change and its publication, in nanoseconds.
     pub(super) fn delay(&self) -> Time {
         seconds(self.delay_s)
     }
@@ -96,7 +98,7 @@
         self.delay_s += additional_s;
     }
 
-    /// Takes back an earlier delay.
+    /// Takes back a delay that was added.
     pub(super) fn reduce_delay(&mut self, additional_s: f64) {
         self.delay_s = (self.delay_s - additional_s).max(0.0);
     }
@@ -106,7 +108,7 @@
         self.unpublished.get_or_insert_default();
     }
 
-    /// Describes endpoints as entries of a list document. A complete list leaves out endpoints that are gone.
+    /// Returns the entries of a list document. A complete list leaves out endpoints that are gone.
     fn describe(
         &self,
         endpoints: &[u32],
--- a/crates/scenario/src/runner/endpoint_list/changes.rs
+++ b/crates/scenario/src/runner/endpoint_list/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of endpoints: opened, drained, removed, closed and reopened.
+//! Changes of endpoints: opening, draining, removing, closing and reopening them.
 
 use super::{ListEntry, ListedState};
 use crate::error::ScenarioError;
@@ -7,7 +7,7 @@
 use linnetcart_endpoint_model::SimulatedEndpoint;
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Opens a new endpoint and adds it to the list.
+    /// Opens a new endpoint, and adds it to the list as ready.
     pub(in crate::runner) fn open_new_endpoint(
         &mut self,
         destination: u32,
@@ -21,7 +21,8 @@
         Ok(())
     }
 
-    /// Starts to drain an endpoint, and opens a replacement. The endpoint is removed after `drain`.
+    /// Starts to drain an endpoint, and opens a replacement in the same zone. The endpoint is removed `drain`
+    /// after the publication of this change.
     pub(in crate::runner) fn replace_endpoint(
         &mut self,
         endpoint: u32,
@@ -35,7 +36,7 @@
         self.simulator.add(destination, new);
         let delay = self.endpoint_list.delay();
         self.schedule_after(delay, Timer::PublishChanges { endpoints: vec![endpoint, new.endpoint] });
-        // The endpoint drains until the change has had time to reach all couriers.
+        // The drain time counts from the publication, so that couriers have all of it.
         self.schedule_after(delay + drain, Timer::RemoveEndpoint { endpoint });
         Ok(())
     }
@@ -51,7 +52,7 @@
         self.schedule_after(delay, Timer::PublishChanges { endpoints: vec![endpoint] });
     }
 
-    /// Stops listening for an endpoint and breaks its connections.
+    /// Stops listening for connections to an endpoint, and resets those that it has.
     pub(in crate::runner) fn close_endpoint(&mut self, endpoint: u32) {
         if let Some(entry) = self.endpoint_list.entries.get_mut(&endpoint) {
             if entry.listening {
--- a/crates/scenario/src/runner/endpoint_list/publication.rs
+++ b/crates/scenario/src/runner/endpoint_list/publication.rs
@@ -7,7 +7,7 @@
 use linnetcart_conformance::{EndpointNotification, Time};
 use serde_json::json;
 
-/// How long a restarted courier waits until its next attempt to catch up while publication is suspended.
+/// Interval at which a restarted courier tries to catch up while publication is suspended, in nanoseconds.
 const CATCH_UP_RETRY: Time = 200_000_000;
 
 impl<T: Transport> ScenarioRunner<'_, T> {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Sends a courier the part of the endpoint list that it does not have, if there is any and no other
-    /// document is under way.
+    /// Sends a courier the complete endpoint list if it needs it, or else the pending changes. Does nothing
+    /// if there are none or another document is in flight.
     fn notify(&mut self, courier: u32) {
         let process = &mut self.couriers[courier as usize];
         if !process.can_be_notified() {
@@ -67,7 +67,7 @@
         self.put_document(courier, "/list", body, updates);
     }
 
-    /// Handles the answer of a courier to a document that was put to its control interface. The error is the
+    /// Handles the answer of a courier to a document that was sent to its control interface. The error is the
     /// reason that the courier gave for rejecting the document.
     pub fn put_done(
         &mut self,
@@ -79,7 +79,7 @@
         if process.incarnation != incarnation || !process.running {
             return Ok(());
         }
-        let updates = process.document_under_way.take().unwrap_or_default();
+        let updates = process.document_in_flight.take().unwrap_or_default();
         if let Err(reason) = outcome {
             return Err(ScenarioError::DocumentRejected { courier, reason });
         }
--- a/crates/scenario/src/runner/endpoints.rs
+++ b/crates/scenario/src/runner/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints on the wire: connections of couriers to endpoints and the requests on them. What an endpoint
-//! does is decided by the endpoint simulator.
+//! The Kafka side of endpoints: connections of couriers to endpoints, and the requests on them. The endpoint
+//! simulator decides what an endpoint does.
 
 mod calls;
 
@@ -18,13 +18,13 @@
 /// Prefix of the client id of a courier; its number follows.
 const COURIER_CLIENT_PREFIX: &str = "linnetcart-edge-";
 
-/// The place of an answer in the order of its connection; `bytes` is `None` until the call is answered.
+/// A response in the queue of its connection; `bytes` is `None` until the call is answered.
 struct QueuedAnswer {
     call: u64,
     bytes: Option<Bytes>,
 }
 
-/// What the response to a request repeats: its correlation id and API version.
+/// What the response to a request needs of it: the correlation id and the API version.
 #[derive(Clone, Copy)]
 struct RequestId {
     correlation: i32,
@@ -34,22 +34,25 @@
 /// A connection from a courier to an endpoint.
 pub(super) struct EndpointConnection {
     pub(super) endpoint: u32,
-    /// Whether the connection counts against the connection limit of the endpoint.
+    /// Whether the simulator counts the connection against the connection limit of the endpoint.
     counted: bool,
+    /// The courier, known from the client id of its first request.
     caller: Option<Caller>,
     frames: Frames,
-    /// Answers in the order of their requests.
+    /// Responses in the order of their requests, as Kafka requires on a connection.
     answers: VecDeque<QueuedAnswer>,
+    /// Whether the accept delay is over.
     accepted: bool,
-    /// The ApiVersions request, if it came before the connection was accepted.
+    /// The ApiVersions request, if it arrived during the accept delay.
     deferred_handshake: Option<RequestId>,
     last_used: Time,
-    /// Whether everything that arrives on the connection is ignored.
+    /// Whether everything that arrives on the connection is ignored: the endpoint has vanished, or the idle
+    /// timeout has dropped the connection without notice.
     ignored: bool,
 }
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Handles a new connection of a courier to an endpoint.
+    /// Handles a new connection from a courier to an endpoint.
     pub fn accepted(&mut self, endpoint: u32, token: Token) {
         let outcome = self.simulator.connect(endpoint);
         let accept_delay = match outcome {
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Accepts a connection after its delay, and answers the request that arrived meanwhile.
+    /// Ends the accept delay of a connection, and answers the ApiVersions request that arrived during it.
     pub(super) fn accept_delayed(&mut self, token: Token) {
         let Some(Connection::Endpoint(connection)) = self.connections.get_mut(&token) else { return };
         connection.accepted = true;
@@ -110,8 +113,8 @@
         self.read_requests(token);
     }
 
-    /// Returns whether a fault is in force that resets connections which were idle for too long. Without it,
-    /// they are ignored.
+    /// Returns whether a hard idle-dropped fault is in force. It resets connections after the idle timeout;
+    /// without it, they are ignored.
     fn idle_connections_are_reset(&self) -> bool {
         self.fleet.scenario.faults.iter().any(|fault| {
             let begin = seconds(fault.at);
@@ -169,16 +172,16 @@
         }
     }
 
-    /// Breaks a connection to an endpoint.
+    /// Resets a connection to an endpoint.
     pub(super) fn drop_connection(&mut self, token: Token) {
         if let Some(Connection::Endpoint(connection)) = self.connections.remove(&token) {
-            self.release_endpoint(&connection);
+            self.release_connection(&connection);
         }
         self.transport.reset(token);
     }
 
-    /// Frees the place of a connection at its endpoint.
-    pub(super) fn release_endpoint(&mut self, connection: &EndpointConnection) {
+    /// Stops counting a connection against the connection limit of its endpoint.
+    pub(super) fn release_connection(&mut self, connection: &EndpointConnection) {
         if connection.counted {
             self.simulator.disconnect(connection.endpoint);
         }
@@ -186,7 +189,7 @@
 }
 
 impl EndpointConnection {
-    /// Removes and returns the next answer in order, if it is ready.
+    /// Removes and returns the response at the head of the queue, if it is ready.
     fn next_answer(&mut self) -> Option<Bytes> {
         let bytes = self.answers.front_mut()?.bytes.take()?;
         self.answers.pop_front();
--- a/crates/scenario/src/runner/endpoints/calls.rs
+++ b/crates/scenario/src/runner/endpoints/calls.rs
@@ -1,4 +1,4 @@
-//! Calls on the wire: Produce requests of couriers and the responses of endpoints.
+//! Calls: Produce requests of couriers, and the responses of endpoints.
 
 use super::{QueuedAnswer, RequestId};
 use crate::runner::{Connection, ScenarioRunner, Timer, Token, Transport};
@@ -7,9 +7,9 @@
 use linnetcart_kafka::server::{self, PartitionResult};
 use linnetcart_kafka::{codes, LoadReport};
 
-/// The caller of a connection whose client id names no courier.
+/// The caller on a connection whose client id is not that of a courier.
 const UNKNOWN_CALLER: Caller = Caller { courier: u32::MAX, incarnation: 0 };
-/// The number of a message without an id.
+/// The message number of a record without a valid `message-id` header.
 const UNKNOWN_MESSAGE: u64 = u64::MAX;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
@@ -19,7 +19,7 @@
     partition: i32,
 }
 
-/// A call without an answer so far.
+/// A call that is not answered yet.
 pub(in crate::runner) struct OpenCall {
     token: Token,
     id: RequestId,
@@ -28,7 +28,7 @@
     partition_of_item: Vec<usize>,
 }
 
-/// The contents of a Produce request.
+/// The contents of a Produce request, with one item for each record.
 struct ParsedCall {
     items: Vec<CallItem>,
     partitions: Vec<ProducePartition>,
@@ -36,7 +36,7 @@
 }
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Hands a Produce request to the endpoint simulator. Breaks the connection if the request is not valid.
+    /// Passes a Produce request to the endpoint simulator. Resets the connection if the request is invalid.
     pub(super) fn receive_call(&mut self, token: Token, id: RequestId, produce: server::Produce) {
         let Some(Connection::Endpoint(connection)) = self.connections.get(&token) else { return };
         let endpoint = connection.endpoint;
@@ -57,17 +57,17 @@
             partition_of_item: parsed.partition_of_item,
         };
         self.calls.insert(call, open);
-        self.take_step(call, step);
+        self.apply_step(call, step);
     }
 
     /// Advances a call whose timer has fired.
     pub(in crate::runner) fn finish_call(&mut self, call: u64) {
         let step = self.simulator.finish_call(self.now, call);
-        self.take_step(call, step);
+        self.apply_step(call, step);
     }
 
-    /// Does what the simulator decided for a call.
-    fn take_step(&mut self, call: u64, step: CallStep) {
+    /// Carries out what the simulator decided about a call.
+    fn apply_step(&mut self, call: u64, step: CallStep) {
         match step {
             CallStep::FinishAt(at) => self.timers.schedule(at, Timer::FinishCall { call }),
             CallStep::Silent => {
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Queues the answer to a call, and sends all answers of its connection that are next in order.
+    /// Stores the response to a call, and sends the responses at the head of its connection's queue that are
+    /// ready.
     fn answer_call(&mut self, call: u64, reply: &Reply) {
         let Some(open) = self.calls.remove(&call) else { return };
         let bytes = open.response(reply);
@@ -121,7 +122,8 @@
     }
 }
 
-/// Returns the contents of a Produce request, or `None` if a topic names no class or records cannot be read.
+/// Returns the contents of a Produce request, or `None` if a topic is not that of a class or records cannot
+/// be decoded.
 fn parse_call(produce: server::Produce, topics: &[String]) -> Option<ParsedCall> {
     let mut items = Vec::new();
     let mut partitions = Vec::new();
--- a/crates/scenario/src/runner/faults.rs
+++ b/crates/scenario/src/runner/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of a scenario: how they begin, proceed in steps, and end.
+//! Faults of a scenario: how they begin, proceed in steps, and end. A fault is given by its position in the
+//! scenario.
 
 mod begin;
 mod end;
@@ -9,15 +10,15 @@
 use crate::units::seconds;
 use linnetcart_endpoint_model::{EndpointFault, OutageSpan};
 
-/// A fault by which more than this fraction of calls fails is an outage, which ends with a recovery ramp.
-const OUTAGE_SHARE: f64 = 0.5;
+/// A fault by which more than this fraction of calls fails counts as an outage, which a slow start follows.
+const OUTAGE_FAILURE_RATIO: f64 = 0.5;
 
-/// How couriers notice an outage.
+/// What couriers observe during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OutageSymptom {
     /// Calls fail.
     FailedCalls,
-    /// Connections fail.
+    /// Connection attempts fail.
     FailedConnections,
 }
 
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Returns the couriers that a fault affects: consecutive numbers from a start that depends on fault and
-    /// seed.
+    /// Returns the couriers that a fault affects: `round(part * couriers)` of them, at least one, with
+    /// consecutive numbers from `fault + seed`, modulo the number of couriers.
     fn couriers_of(&self, fault: usize) -> Vec<u32> {
         let count = self.couriers.len() as u32;
         let part = self.fault_spec(fault).part;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Records an outage of the destinations of a fault until it ends, followed by a recovery ramp.
+    /// Records an outage of the destinations of a fault until its end, which a slow start follows.
     fn record_outage(&mut self, fault: usize, symptom: OutageSymptom) {
         let spec = self.fault_spec(fault);
         let until = seconds(spec.at + spec.lasts).max(self.now);
--- a/crates/scenario/src/runner/faults/begin.rs
+++ b/crates/scenario/src/runner/faults/begin.rs
@@ -1,6 +1,6 @@
-//! The beginning of each kind of fault.
+//! The start of each kind of fault.
 
-use super::{OutageSymptom, OUTAGE_SHARE};
+use super::{OutageSymptom, OUTAGE_FAILURE_RATIO};
 use crate::error::ScenarioError;
 use crate::runner::clients::FavouredCourier;
 use crate::runner::{InfrastructureFault, ScenarioRunner, Transport};
@@ -64,7 +64,7 @@
             | FaultKind::CouriersStall
             | FaultKind::CouriersRolled
             | FaultKind::LinksCut => self.step_fault(fault, 0)?,
-            // These are part of the traffic, which was drawn before the run.
+            // These change only the traffic, which was drawn before the run.
             FaultKind::SuddenLoad | FaultKind::HotDestinations => {}
         }
         Ok(())
@@ -72,14 +72,14 @@
 
     fn begin_errors(&mut self, fault: usize, probability: f64) {
         self.change_endpoints(fault, |state| state.error_probability = probability);
-        if probability > OUTAGE_SHARE {
+        if probability > OUTAGE_FAILURE_RATIO {
             self.record_outage(fault, OutageSymptom::FailedCalls);
         }
     }
 
     fn begin_lost_answers(&mut self, fault: usize, probability: f64) {
         self.change_endpoints(fault, |state| state.lost_answer_probability = probability);
-        if probability > OUTAGE_SHARE {
+        if probability > OUTAGE_FAILURE_RATIO {
             self.record_outage(fault, OutageSymptom::FailedCalls);
         }
     }
@@ -119,7 +119,7 @@
         self.record_outage(fault, OutageSymptom::FailedCalls);
     }
 
-    /// Makes one class fail at the first endpoint of each destination that has several.
+    /// Makes one class fail at the first endpoint of each affected destination that has several.
     fn begin_class_fault(&mut self, fault: usize) {
         let spec = self.fault_spec(fault);
         let class_fault =
--- a/crates/scenario/src/runner/faults/end.rs
+++ b/crates/scenario/src/runner/faults/end.rs
@@ -26,7 +26,7 @@
             FaultKind::Partition | FaultKind::LinksSlow => self.transport.heal(fault),
             FaultKind::ListLate => self.endpoint_list.reduce_delay(spec.size),
             FaultKind::ListOut => self.resume_publication(),
-            // These need no action at their end.
+            // These end by themselves, or were part of the traffic drawn before the run.
             FaultKind::Shut
             | FaultKind::Drains
             | FaultKind::Pauses
--- a/crates/scenario/src/runner/faults/steps.rs
+++ b/crates/scenario/src/runner/faults/steps.rs
@@ -6,7 +6,7 @@
 use crate::units::{millis, seconds};
 use linnetcart_conformance::Time;
 
-/// Least fraction of the endpoints that is drained at once.
+/// Least fraction of the endpoints in a batch of drains.
 const MIN_DRAIN_SHARE: f64 = 0.05;
 
 impl<T: Transport> ScenarioRunner<'_, T> {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Drains a batch of the endpoints of a fault and opens their replacements.
+    /// Drains a batch of the endpoints of a fault, and opens their replacements. The batches are spread
+    /// evenly over the duration of the fault.
     fn drain_batch(&mut self, fault: usize, step: u32) -> Result<(), ScenarioError> {
         let spec = self.fault_spec(fault);
         let share = drain_share(spec);
@@ -69,25 +70,25 @@
         Ok(())
     }
 
-    /// Returns the lowest number of an endpoint that was opened during the run.
+    /// Returns the number of the first endpoint that is opened during the run.
     fn first_replacement(&self) -> u32 {
         let endpoints = self.fleet.destinations.iter().flat_map(|destination| &destination.endpoints);
         let last = endpoints.map(|endpoint| endpoint.endpoint).max();
         last.map_or(u32::MAX, |last| last + 1)
     }
 
-    /// Stalls the couriers of a fault in turn, evenly spaced over the interval between two stalls of one
-    /// courier.
+    /// Stalls the next courier of a fault. The couriers take turns, evenly spaced within the period of a
+    /// courier's stalls.
     fn stall_next_courier(&mut self, fault: usize, step: u32) {
         let spec = self.fault_spec(fault);
         let couriers = self.couriers_of(fault);
-        let distance = seconds(spec.extra) / couriers.len() as u64;
+        let interval = seconds(spec.extra) / couriers.len() as u64;
         self.stall_courier(couriers[step as usize % couriers.len()], spec.size);
-        self.schedule_step(fault, step + 1, distance);
+        self.schedule_step(fault, step + 1, interval);
     }
 }
 
-/// Returns the fraction of the endpoints that is drained at once.
+/// Returns the fraction of the endpoints in a batch of drains.
 fn drain_share(spec: &FaultSpec) -> f64 {
     spec.size.max(MIN_DRAIN_SHARE)
 }
--- a/crates/scenario/src/runner/timers.rs
+++ b/crates/scenario/src/runner/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of a run, and the queue that orders them.
+//! Timers of a run, and the priority queue that orders them.
 
 use super::transport::Token;
 use linnetcart_conformance::Time;
@@ -7,23 +7,23 @@
 /// What happens when a timer fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// A client submits a message, by its number in the plan.
+    /// A client submits a message, given by its position in `Fleet::messages`.
     Submit { message: usize, attempt: u32 },
-    /// A call of the endpoint simulator reaches its next step.
+    /// The endpoint simulator decides about the next step of a call.
     FinishCall { call: u64 },
-    /// An endpoint accepts a connection after a delay.
+    /// An endpoint accepts a connection, after its accept delay.
     AcceptConnection { token: Token },
     /// A fault begins.
     BeginFault { fault: usize },
-    /// A fault that proceeds in steps makes its next one.
+    /// A fault that proceeds in steps takes its next step.
     StepFault { fault: usize, step: u32 },
     /// A fault ends.
     EndFault { fault: usize },
-    /// Couriers are notified of changes of the endpoint list.
+    /// Couriers are notified of changes of these endpoints.
     PublishChanges { endpoints: Vec<u32> },
     /// A restarted courier is notified of the changes that it missed, if it is still in this incarnation.
     CatchUp { courier: u32, incarnation: u32 },
-    /// A draining endpoint is removed.
+    /// An endpoint is removed after it has drained.
     RemoveEndpoint { endpoint: u32 },
     /// A courier that was killed starts again.
     RestartCourier { courier: u32 },
@@ -33,8 +33,8 @@
     AnswerTimeout { submission: usize },
 }
 
-/// The position of a timer in the queue. Timers of the same time fire in the order in which they were
-/// scheduled.
+/// The position of a timer in the queue: by time, and for equal times in the order of scheduling, so that
+/// runs are deterministic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerPosition {
     at: Time,
--- a/crates/scenario/src/runner/transport.rs
+++ b/crates/scenario/src/runner/transport.rs
@@ -1,4 +1,4 @@
-//! The interface between the runner and the environment that carries the bytes and runs the couriers.
+//! The interface between the runner and the environment, which carries the bytes and runs the couriers.
 
 use linnetcart_conformance::Time;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 /// The number of a connection, assigned by the transport.
 pub type Token = u64;
 
-/// The reason why a transport operation failed. Its type is known only to the implementation.
+/// The reason why a transport operation failed, as an error of the implementation.
 pub type TransportError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Carries the bytes and runs the couriers: with sockets and processes, or in virtual time.
@@ -15,36 +15,36 @@
     fn connect(&mut self, courier: u32) -> Token;
     /// Sends bytes on a connection.
     fn send(&mut self, token: Token, bytes: &[u8]);
-    /// Closes a connection in order. No event of it is reported afterwards.
+    /// Closes a connection gracefully. The transport reports no event of it afterwards.
     fn close(&mut self, token: Token);
-    /// Resets a connection. No event of it is reported afterwards.
+    /// Resets a connection (on sockets, by a TCP RST). The transport reports no event of it afterwards.
     fn reset(&mut self, token: Token);
-    /// Starts a courier. Incarnation 0 is its first start, for which any state of earlier runs is removed.
+    /// Starts a courier. Incarnation 0 is its first start, for which stored state of earlier runs is removed.
     fn start(&mut self, courier: u32, incarnation: u32) -> Result<StoredState, TransportError>;
-    /// Kills a courier.
+    /// Kills a courier process without a graceful shutdown.
     fn kill(&mut self, courier: u32);
-    /// Suspends a courier.
+    /// Suspends a courier process.
     fn stall(&mut self, courier: u32);
-    /// Resumes a suspended courier.
+    /// Resumes a suspended courier process.
     fn resume(&mut self, courier: u32);
-    /// Puts a document to a courier's control interface. The answer is reported by
+    /// Sends a document to a courier's control interface by PUT. Its answer is passed to
     /// [`ScenarioRunner::put_done`](super::ScenarioRunner::put_done).
     fn put(&mut self, courier: u32, incarnation: u32, path: &'static str, body: String);
-    /// Starts to listen for an endpoint, at the same address each time.
+    /// Starts to listen for connections to an endpoint, at the same address each time.
     fn open(&mut self, endpoint: u32) -> Result<(), TransportError>;
-    /// Stops listening for an endpoint.
+    /// Stops listening for connections to an endpoint.
     fn shut(&mut self, endpoint: u32);
     /// Returns the address of an endpoint that was opened.
     fn address(&self, endpoint: u32) -> SocketAddr;
     /// Returns the true wall-clock time, in nanoseconds since 1970.
     fn wall(&self) -> Time;
-    /// Returns the travel time of the bytes that arrived last on a connection, in nanoseconds; 0 if it is not
-    /// known.
+    /// Returns the network delay of the bytes that arrived last on a connection, in nanoseconds; 0 if it is
+    /// not known.
     fn travelled(&self, _token: Token) -> Time {
         0
     }
-    /// Begins a fault of network or disk, which lasts until [`Transport::heal`] with the same number. A
-    /// transport that cannot inject faults does nothing.
+    /// Injects a fault of network or disk. A fault that lasts ends with [`Transport::heal`] of the same
+    /// number. A transport that cannot inject faults does nothing.
     fn fault(&mut self, _number: usize, _fault: InfrastructureFault) {}
     /// Ends the fault of this number.
     fn heal(&mut self, _number: usize) {}
@@ -62,7 +62,7 @@
 /// A fault of network or disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InfrastructureFault {
-    /// Couriers are cut off.
+    /// Couriers are cut off: data is held back until the fault ends.
     Partition {
         /// The affected couriers.
         couriers: Vec<u32>,
@@ -70,7 +70,7 @@
         clients: bool,
         /// Whether they are cut off from endpoints.
         endpoints: bool,
-        /// Whether only the direction to the couriers is delayed.
+        /// Whether data is held back only in the direction to the couriers.
         one_way: bool,
     },
     /// Connections of couriers break once, when the fault begins.
@@ -80,14 +80,14 @@
         /// The fraction of their connections that breaks.
         share: f64,
     },
-    /// Bytes from and to couriers take longer.
+    /// Data from and to couriers takes longer.
     Slow {
         /// The affected couriers.
         couriers: Vec<u32>,
-        /// Additional one-way delay.
+        /// Additional one-way delay, in nanoseconds.
         by: Time,
     },
-    /// The snapshot of a stopped courier is truncated.
+    /// The snapshot of a killed courier is truncated.
     Damage {
         /// The affected courier.
         courier: u32,
--- a/crates/testbed/src/socket_run.rs
+++ b/crates/testbed/src/socket_run.rs
@@ -167,7 +167,7 @@
 
     fn report_progress(&self, now: Time, length: f64) {
         if let Some(progress) = self.options.progress {
-            let open_messages = self.runner.open();
+            let open_messages = self.runner.awaiting_answer();
             progress(Progress { seconds: now as f64 / 1e9, of_seconds: length, open_messages });
         }
     }
