--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -1,6 +1,7 @@
-//! The courier without its sockets: it takes bytes, connection events and clock readings, and returns bytes,
-//! connects, closes and delivery events. It has no sockets, files or clocks of its own, and the same inputs
-//! always give the same outputs.
+//! The courier's core, a deterministic state machine without I/O ("sans I/O"): it takes bytes, connection
+//! events and clock readings, and returns bytes to write, connections to open or close, and delivery events.
+//! It has no sockets, files or clocks of its own. The same settings, start options and inputs always give the
+//! same outputs.
 //!
 //! [`Core`] consists of its parts and defines the order of one event-loop iteration ([`Core::process`]). Each
 //! part owns its state:
@@ -9,18 +10,18 @@
 //! | --- | --- |
 //! | `clock` | the clock readings of the iteration |
 //! | `endpoints` | the endpoint list in force |
-//! | `clients` | client connections, pending requests, the order of responses |
-//! | `admission` | validation of requests, load shedding, generated message names |
-//! | `in_flight` | messages without a final answer, or with attempts out |
+//! | `clients` | client connections, requests without a response, the order of responses |
+//! | `admission` | validation of records, load shedding, generated message ids |
+//! | `in_flight` | messages without a final answer, or with attempts in flight |
 //! | `delivery` | attempts, calls and connections to endpoints |
-//! | `retry_after` | Retry-After times by limit |
+//! | `retry_after` | for each limit, until when a Retry-After forbids sending |
 //! | `decisions` | the decision policy and the events for its next cycle |
-//! | `drain` | graceful shutdown |
-//! | `status` | counters |
+//! | `drain` | the state and deadline of graceful shutdown |
+//! | `status` | counters of messages, by class, and of attempts |
 //!
-//! Any number of inputs may precede [`Core::process`], which passes all of them to the decision library at
-//! once and carries out its decisions. After a stall, the library therefore sees every input before it sends
-//! anything.
+//! Any number of inputs may precede [`Core::process`], which passes all of them to the decision library in
+//! one decision cycle and carries out the actions that it returns. After a stall of the process, the library
+//! therefore sees every input before it sends anything.
 
 mod admission;
 mod attempts;
@@ -67,8 +68,9 @@
 #[derive(Debug)]
 pub struct Core {
     settings: Settings,
-    /// The idempotency of each class.
+    /// The idempotency of each class, by class number.
     idempotency: Vec<Idempotency>,
+    /// This courier as the only broker that Metadata responses list.
     broker: Broker,
     clock: ClockReadings,
     endpoints: EndpointDirectory,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Removes and returns the instructions for the shell.
+    /// Removes and returns the instructions for the shell since the last call.
     pub fn outputs(&mut self) -> Vec<Output> {
         let mut outputs = std::mem::take(&mut self.outputs);
         outputs.extend(self.delivery.take_outputs());
@@ -134,7 +136,7 @@
         self.endpoints.list()
     }
 
-    /// Returns the figures for the status page.
+    /// Returns the values that the status page shows.
     pub fn status(&self) -> Status {
         let usage = self.in_flight.usage();
         let connections = self.delivery.connection_counts();
@@ -142,7 +144,7 @@
         Status {
             in_flight: usage.messages,
             in_flight_bytes: usage.bytes,
-            calls: self.delivery.calls_out(),
+            calls: self.delivery.occupied_slots(),
             upstream_connections: connections.open,
             abandoned_connections: connections.abandoned,
             clients: self.clients.len(),
@@ -160,20 +162,22 @@
 
     // ---- Clocks
 
-    /// Sets the monotonic clock, in nanoseconds. A reading before the last one is ignored.
+    /// Sets the monotonic clock, in nanoseconds. A reading before the last one is ignored. The earliest
+    /// arrival ([`Core::arrived_since`]) becomes the same time.
     pub fn clock(&mut self, now: Time) {
         self.clock.advance(now);
         self.delivery.set_clock(self.clock.now());
     }
 
     /// Sets the wall clock, in nanoseconds since 1970, as of the last reading of [`Core::clock`]. It may go
-    /// back: a reading is only used for the age of requests that are read before the next one.
+    /// back: a reading is only compared with the timestamps of records that are read before the next reading.
     pub fn wall_clock(&mut self, wall: Time) {
         self.clock.set_wall(wall);
     }
 
-    /// Sets the earliest time at which the inputs of this clock reading can have arrived; the process may
-    /// have been stalled since then. The time remaining of messages is counted from it.
+    /// Sets the earliest time, by the monotonic clock, at which inputs that are read now can have arrived:
+    /// the start of the last poll that did not return them. The process may have been stalled since then, so
+    /// the time remaining of messages is counted from it.
     pub fn arrived_since(&mut self, since: Time) {
         self.clock.set_earliest_arrival(since);
     }
@@ -197,6 +201,8 @@
         Ok(())
     }
 
+    /// Puts a list in force, takes over its mapping of endpoints to limits, and closes idle connections to
+    /// endpoints that are not ready.
     fn replace_list(&mut self, list: EndpointList) {
         self.endpoints.replace(list);
         let entries = self.endpoints.list().entries.values();
@@ -212,9 +218,10 @@
 
     // ---- One event-loop iteration
 
-    /// Returns when the next iteration must run at the latest, `Time::MAX` when nothing is pending.
+    /// Returns when the next iteration must run at the latest, by the monotonic clock, or `Time::MAX` when
+    /// nothing is pending.
     pub fn next_wakeup(&self) -> Time {
-        // Overdue messages are completed a tick ahead, see `process`.
+        // Requests are completed a tick before their deadline, see `process`.
         let request_deadline =
             self.clients.next_deadline().map(|at| at.saturating_sub(self.decisions.tick()));
         let drain_deadline = self.drain.deadline().filter(|_| !self.in_flight.is_empty());
@@ -225,8 +232,9 @@
             .min(drain_deadline.unwrap_or(Time::MAX))
     }
 
-    /// Runs one iteration: expires attempts and connections, lets the library decide on all inputs, carries
-    /// out its decisions, and completes overdue messages.
+    /// Runs one iteration: ends attempts and connections that have timed out, runs a decision cycle if one is
+    /// due, completes the messages whose request has `deadline <= now + tick`, and all messages once the
+    /// drain deadline has passed.
     pub fn process(&mut self, now: Time) {
         self.clock(now);
         self.delivery.expire();
@@ -235,16 +243,17 @@
             self.decide();
         }
         for message in self.clients.overdue_messages(self.clock.now() + self.decisions.tick()) {
-            self.complete_undecided(message);
+            self.force_complete(message);
         }
         if self.drain.is_over(self.clock.now()) {
             for message in self.in_flight.open_messages() {
-                self.complete_undecided(message);
+                self.force_complete(message);
             }
         }
     }
 
-    /// Runs one decision cycle and carries out the decisions.
+    /// Runs one decision cycle and carries out its actions. The calls that it opens are written at its end,
+    /// so that messages to one endpoint share calls.
     fn decide(&mut self) {
         let now = self.clock.now();
         self.retry_after.expire(now);
@@ -276,8 +285,9 @@
 
     // ---- Graceful shutdown
 
-    /// Begins to drain: nothing new is accepted from now on. Messages that are still in flight at `deadline`
-    /// are then rejected or failed, by the idempotency of their classes.
+    /// Begins to drain: new messages are rejected from now on. Messages that are still in flight at
+    /// `deadline`, by the monotonic clock, are rejected if it is harmless to submit them again, and failed
+    /// otherwise.
     pub fn begin_drain(&mut self, deadline: Time) {
         self.drain.begin(deadline);
     }
--- a/crates/edge/src/core/admission.rs
+++ b/crates/edge/src/core/admission.rs
@@ -1,7 +1,8 @@
-//! Admission: validation of the partitions of a Produce request, and load shedding at the limits.
+//! Admission control: validates the partitions of a Produce request, and sheds load when the limits on
+//! messages or bytes in flight are reached or the courier drains.
 //!
-//! A partition is accepted completely or not at all. Admission owns the generated message names and its
-//! counters. It stores no message and has no part in delivery.
+//! A partition is accepted completely or not at all. Admission owns the sequence of generated message ids and
+//! its counters. It stores no message and has no part in delivery.
 
 mod error;
 mod headers;
@@ -19,10 +20,12 @@
 use linnetcart_kafka::{Record, RecordHeader};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The header with a message's name. A name is generated for a record without it.
+/// The header with a message's id, which the courier reports as the message's name. An id is generated for a
+/// record without it.
 const MESSAGE_ID: &str = "message-id";
 
-/// The supported `acks` values: -1 waits for all replicas, 1 for the leader.
+/// The supported `acks` values: -1 (all in-sync replicas) and 1 (the leader). Both wait for the final
+/// answers.
 const SUPPORTED_ACKS: [i16; 2] = [-1, 1];
 
 /// The options of a Produce request that apply to all its partitions.
@@ -37,7 +40,7 @@
     pub(crate) settings: &'a Settings,
     pub(crate) endpoints: &'a EndpointDirectory,
     pub(crate) clock: ClockReadings,
-    /// The messages in flight.
+    /// The messages in flight and their bytes, against which the limits are checked.
     pub(crate) usage: Usage,
     pub(crate) draining: bool,
 }
@@ -48,15 +51,18 @@
     /// The record with its `message-id` header.
     pub(crate) record: Record,
     pub(crate) name: Bytes,
-    /// Messages with the same key are delivered in order. 0 means no key.
+    /// A hash of the record's key, 0 if it has none. In an ordered class, messages with the same ordering key
+    /// are delivered in order.
     pub(crate) ordering_key: u64,
+    /// When it must have its final answer, by the monotonic clock.
     pub(crate) deadline: Time,
+    /// The index of its tenant in the settings, 0 if there are no tenants or the record names none.
     pub(crate) tenant: u32,
 }
 
-/// The class and destination of a partition.
+/// The class that a partition's topic names, and the destination whose number is the partition's index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Route {
+pub(crate) struct ResolvedPartition {
     pub(crate) class: u8,
     pub(crate) destination: u32,
 }
@@ -67,9 +73,9 @@
     /// It can never be accepted.
     Invalid(PartitionResult),
     /// It is shed because a limit is reached or the courier drains.
-    Shed { route: Route, record_count: usize, reason: RejectionReason },
+    Shed { resolved: ResolvedPartition, record_count: usize, reason: RejectionReason },
     /// All its records are accepted.
-    Admitted { route: Route, records: Vec<AdmittedRecord> },
+    Admitted { resolved: ResolvedPartition, records: Vec<AdmittedRecord> },
 }
 
 /// A partition with the decision on it.
@@ -77,24 +83,25 @@
 pub(crate) struct CheckedPartition {
     pub(crate) topic: String,
     pub(crate) partition: i32,
-    /// The earliest deadline of its records, or `None` if they could not be read. Shed records are answered
-    /// by this time too, whichever requests precede theirs on the connection.
+    /// The earliest deadline of its records, or `None` if they could not be read. It is set for shed records
+    /// too: their response waits for those of earlier requests on the connection, but not beyond this time.
     pub(crate) deadline: Option<Time>,
     pub(crate) decision: AdmissionDecision,
 }
 
-/// The admission of records.
+/// Decides on the partitions of Produce requests, and counts what it notices about their records.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    /// The prefix of generated names, which distinguishes them from those of other processes.
+    /// The prefix of generated message ids, unique to this process.
     name_prefix: String,
+    /// How many message ids have been generated; the id is the prefix and this number.
     generated_names: u64,
     expired_on_arrival: u64,
     clocks_ahead: u64,
 }
 
 impl Admission {
-    /// Creates an admission that begins generated message names with `name_prefix`.
+    /// Creates an admission that begins generated message ids with `name_prefix`.
     pub(crate) fn new(name_prefix: String) -> Self {
         Admission { name_prefix, generated_names: 0, expired_on_arrival: 0, clocks_ahead: 0 }
     }
@@ -118,34 +125,36 @@
     ) -> CheckedPartition {
         let PartitionBatch { topic, partition, records } = batch;
         let mut deadline = None;
-        let decided = match resolve_route(options, &topic, partition, &records, context) {
+        let decided = match resolve_partition(options, &topic, partition, &records, context) {
             Err(error) => Err(error),
-            Ok(route) => self.check_records(route, records.unwrap_or_default(), context, &mut deadline),
+            Ok(resolved) => self.check_records(resolved, records.unwrap_or_default(), context, &mut deadline),
         };
         let decision =
             decided.unwrap_or_else(|error| AdmissionDecision::Invalid(error.result(&topic, partition)));
         CheckedPartition { topic, partition, deadline, decision }
     }
 
-    /// Decides on readable records that have a route. Sets `earliest_deadline` once it is known.
+    /// Decides on the records of a partition whose class and destination are known. Sets `earliest_deadline`
+    /// once all headers have been read.
     fn check_records(
         &mut self,
-        route: Route,
+        resolved: ResolvedPartition,
         records: Vec<Record>,
         context: &AdmissionContext<'_>,
         earliest_deadline: &mut Option<Time>,
     ) -> Result<AdmissionDecision, PartitionError> {
-        let headers = read_all_headers(&records, route.class, context)
+        let headers = read_all_headers(&records, resolved.class, context)
             .map_err(|records| PartitionError::InvalidRecords { records })?;
         *earliest_deadline = headers.iter().map(|header| header.deadline.deadline).min();
-        self.count_clocks(&headers, context.clock.now());
+        self.update_deadline_counters(&headers, context.clock.now());
         match shed_reason(&records, context)? {
-            Some(reason) => Ok(AdmissionDecision::Shed { route, record_count: records.len(), reason }),
-            None => Ok(self.admit(route, records, headers)),
+            Some(reason) => Ok(AdmissionDecision::Shed { resolved, record_count: records.len(), reason }),
+            None => Ok(self.admit(resolved, records, headers)),
         }
     }
 
-    fn count_clocks(&mut self, headers: &[RecordHeaders], now: Time) {
+    /// Counts the records that expired before they arrived, and those from clients whose clock is ahead.
+    fn update_deadline_counters(&mut self, headers: &[RecordHeaders], now: Time) {
         for header in headers {
             self.expired_on_arrival += u64::from(header.deadline.deadline <= now);
             self.clocks_ahead += u64::from(header.deadline.clock_ahead);
@@ -154,22 +163,22 @@
 
     fn admit(
         &mut self,
-        route: Route,
+        resolved: ResolvedPartition,
         records: Vec<Record>,
         headers: Vec<RecordHeaders>,
     ) -> AdmissionDecision {
         let mut admitted = Vec::with_capacity(records.len());
         for (mut record, header) in records.into_iter().zip(headers) {
-            let name = self.name_of(&mut record);
+            let name = self.ensure_message_id(&mut record);
             let ordering_key = ordering_key(&record);
             let deadline = header.deadline.deadline;
             admitted.push(AdmittedRecord { record, name, ordering_key, deadline, tenant: header.tenant });
         }
-        AdmissionDecision::Admitted { route, records: admitted }
+        AdmissionDecision::Admitted { resolved, records: admitted }
     }
 
-    /// Returns the name of a message. A generated name is added to the record as a header.
-    fn name_of(&mut self, record: &mut Record) -> Bytes {
+    /// Returns the message id of a record. If it has none, one is generated and added as a header.
+    fn ensure_message_id(&mut self, record: &mut Record) -> Bytes {
         if let Some(name) = record.header(MESSAGE_ID) {
             return name.clone();
         }
@@ -192,14 +201,14 @@
     }
 }
 
-/// Returns the class and destination of a partition, or why the partition can never be accepted.
-fn resolve_route(
+/// Looks up the class and destination of a partition. The error is why it can never be accepted.
+fn resolve_partition(
     options: ProduceOptions,
     topic: &str,
     partition: i32,
     records: &Result<Vec<Record>, i16>,
     context: &AdmissionContext<'_>,
-) -> Result<Route, PartitionError> {
+) -> Result<ResolvedPartition, PartitionError> {
     if !SUPPORTED_ACKS.contains(&options.acks) {
         return Err(PartitionError::UnsupportedAcks);
     }
@@ -211,11 +220,12 @@
     }
     let class = context.settings.class(topic).ok_or(PartitionError::UnknownClass)?;
     let destination = context.endpoints.destination(partition).ok_or(PartitionError::UnknownDestination)?;
-    Ok(Route { class, destination })
+    Ok(ResolvedPartition { class, destination })
 }
 
-/// Returns why these records are shed, or `None` if they are not. It is an error if they exceed the limits
-/// even when nothing else is in flight.
+/// Returns why these records are shed, or `None` if they are not. They are shed if
+/// `in flight + records > limit`, in messages or bytes, or if the courier drains. Records that exceed a limit
+/// on their own could never be accepted, which is an error.
 fn shed_reason(
     records: &[Record],
     context: &AdmissionContext<'_>,
--- a/crates/edge/src/core/admission/error.rs
+++ b/crates/edge/src/core/admission/error.rs
@@ -5,7 +5,7 @@
 use linnetcart_kafka::codes;
 use linnetcart_kafka::server::{PartitionResult, RecordError};
 
-/// Why a partition can never be accepted. The texts are part of its result.
+/// Why a partition can never be accepted. The texts are the error messages of its result in the response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PartitionError {
     #[error("acks must be all or 1")]
--- a/crates/edge/src/core/admission/headers.rs
+++ b/crates/edge/src/core/admission/headers.rs
@@ -7,9 +7,9 @@
 use linnetcart::Time;
 use linnetcart_kafka::Record;
 
-/// The header with the time remaining of a message when it is submitted, in milliseconds.
+/// The header with the time between a message's submission and its deadline, in milliseconds.
 const DEADLINE_MS: &str = "deadline-ms";
-/// The header with a message's deadline, in milliseconds since 1970.
+/// The header with a message's deadline, in milliseconds since 1970 by the client's wall clock.
 const DEADLINE_AT_MS: &str = "deadline-at-ms";
 /// The header with the name of a message's tenant.
 const TENANT: &str = "tenant";
@@ -25,10 +25,11 @@
     UnknownTenant { name: String },
 }
 
-/// The content of a record's headers.
+/// What a record's headers and timestamp state.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecordHeaders {
     pub(super) deadline: MessageDeadline,
+    /// The index of the tenant in the settings.
     pub(super) tenant: u32,
 }
 
@@ -81,8 +82,8 @@
         max_skew: settings.clocks.max_skew_ms * NANOS_PER_MS,
         timestamps_are_creation_times: settings.clocks.timestamps_are_creation_times,
     };
-    let longest = settings.classes[usize::from(class)].deadline();
-    let deadline = message_deadline(clocks, context.clock, stated, longest);
+    let max_time_left = settings.classes[usize::from(class)].deadline();
+    let deadline = message_deadline(clocks, context.clock, stated, max_time_left);
     Ok(RecordHeaders { deadline, tenant: read_tenant(record, settings)? })
 }
 
@@ -100,7 +101,8 @@
     }
 }
 
-/// Returns the number of the record's tenant, 0 if there are no tenants or the record names none.
+/// Returns the index in the settings of the record's tenant, 0 if there are no tenants or the record names
+/// none.
 fn read_tenant(record: &Record, settings: &Settings) -> Result<u32, HeaderError> {
     if settings.tenants.is_empty() {
         return Ok(0);
--- a/crates/edge/src/core/attempts.rs
+++ b/crates/edge/src/core/attempts.rs
@@ -1,7 +1,7 @@
-//! How the core handles attempts: it starts and cancels them, collects their outcomes, and completes
-//! messages.
+//! The attempts of messages: how the core starts and cancels them, collects their outcomes, and gives
+//! messages their final answers.
 
-use super::delivery::{AttemptId, Departure, FinishedAttempt, OutgoingMessage};
+use super::delivery::{AttemptId, FinishedAttempt, OutgoingMessage, PendingWrite};
 use super::in_flight::{InFlightMessage, Message, MessageState};
 use super::responses::RecordOutcome;
 use super::{Core, UpstreamId};
@@ -9,9 +9,9 @@
 use linnetcart::{AttemptOutcome, AttemptResult, Event, Idempotency, Time};
 use linnetcart_net::ConnectFailure;
 
-/// How many ticks before a message's deadline the last attempt may be written. The library answers two ticks
-/// before the deadline and needs the outcome of an unwritten attempt before that.
-const DEPARTURE_MARGIN_TICKS: Time = 4;
+/// How many ticks before a message's deadline the last attempt may be written. The library gives the final
+/// answer two ticks before the deadline, and needs the outcome of an unwritten attempt before that.
+const WRITE_MARGIN_TICKS: Time = 4;
 
 impl Core {
     // ---- Connections to endpoints
@@ -26,8 +26,8 @@
         self.delivery.connect_failed(id, failure);
     }
 
-    /// Handles a connection that the endpoint closed, or that failed, after the operating system accepted
-    /// `accepted_bytes` for it.
+    /// Handles a connection that the endpoint closed, or that failed. The operating system had accepted
+    /// `accepted_bytes` of the bytes queued for it.
     pub fn upstream_disconnected(&mut self, id: UpstreamId, accepted_bytes: u64) {
         self.delivery.disconnected(id, accepted_bytes);
     }
@@ -36,17 +36,20 @@
     pub fn upstream_received(&mut self, id: UpstreamId, bytes: &[u8]) {
         let now = self.clock.now();
         let (in_flight, endpoints, retry_after) = (&self.in_flight, &self.endpoints, &self.retry_after);
-        let may_depart = |departure: Departure| {
-            in_flight.open(departure.message).is_some_and(|open| open.message.deadline > now)
-                && endpoints.is_ready(departure.endpoint)
-                && !retry_after.is_blocked(departure.endpoint, now)
+        let may_write = |write: PendingWrite| {
+            in_flight.open(write.message).is_some_and(|open| open.message.deadline > now)
+                && endpoints.is_ready(write.endpoint)
+                && !retry_after.is_blocked(write.endpoint, now)
         };
-        self.delivery.receive(id, bytes, &may_depart);
+        self.delivery.receive(id, bytes, &may_write);
         self.collect_attempt_outcomes();
     }
 
     // ---- Attempts
 
+    /// Starts an attempt that the library decided on. It times out at `until`, or at the message's deadline
+    /// if `until` is 0 or later. The attempt is not sent if its message is completed or has used
+    /// up its attempts, or if the endpoint has left the list.
     pub(super) fn start_attempt(&mut self, message: u32, endpoint: u32, until: Time) {
         let Some(begun) = self.in_flight.begin_attempt(message) else { return };
         let Some(in_flight) = self.in_flight.get(message) else { return };
@@ -84,7 +87,8 @@
         self.delivery.cancel(AttemptId { message, number: attempt });
     }
 
-    /// Collects the outcomes of attempts from delivery.
+    /// Passes the outcomes of attempts on from delivery to the in-flight table, the Retry-After table and the
+    /// library. Delivery may finish further attempts meanwhile, so this repeats until there are none.
     pub(super) fn collect_attempt_outcomes(&mut self) {
         for violation in self.delivery.take_violations() {
             let peer = format!("endpoint {}", violation.endpoint);
@@ -105,13 +109,15 @@
         }
     }
 
-    /// Records the rejection of an abandoned call. Its Retry-After applies like any other.
+    /// Records the rejection of an abandoned call: its Retry-After applies to the limit of the endpoint,
+    /// although the attempts of the call have their outcomes already.
     fn record_late_rejection(&mut self, rejection: FinishedAttempt) {
         let AttemptOutcome::Rejected { retry_after } = rejection.outcome else { return };
         self.retry_after.record(rejection.endpoint, retry_after, self.clock.now());
         self.decisions.push(Event::AttemptFinished(self.attempt_result(&rejection, MessageState::Completed)));
     }
 
+    /// Records the outcome of an attempt. `Served` completes its message.
     fn finish_attempt(&mut self, finished: FinishedAttempt) {
         let message = finished.attempt.message;
         self.push_attempt_finished(&finished);
@@ -168,10 +174,10 @@
         self.complete(message, FinalAnswer::Failed);
     }
 
-    /// Completes a message without a decision of the library, because a response behind it on its connection
-    /// is due or because the drain deadline has passed. The library is notified as if the client had
-    /// cancelled.
-    pub(super) fn complete_undecided(&mut self, message: u32) {
+    /// Completes a message without a decision of the library, because its request or a later one on the same
+    /// connection is due, or because the drain deadline has passed. It is rejected if it is harmless to
+    /// submit it again, and failed otherwise. To the library it is reported as cancelled by the client.
+    pub(super) fn force_complete(&mut self, message: u32) {
         let Some(in_flight) = self.in_flight.open(message) else { return };
         let repeat_is_harmless = matches!(
             self.idempotency[usize::from(in_flight.message.class)],
@@ -186,7 +192,7 @@
         self.complete(message, answer);
     }
 
-    /// Gives a message its final answer.
+    /// Gives a message its final answer: counts and reports it, and sends the responses that it completes.
     fn complete(&mut self, message: u32, answer: FinalAnswer) {
         let Some(in_flight) = self.in_flight.open(message) else { return };
         let Message { position, class, destination, accepted_at, .. } = in_flight.message;
@@ -208,13 +214,16 @@
         }
     }
 
+    /// Returns whether an attempt of the message may have been executed: one that has finished, or one in
+    /// flight that has been written to its connection.
     fn is_possibly_executed(&self, message: u32, in_flight: &InFlightMessage) -> bool {
-        in_flight.possibly_executed || self.delivery.has_departed(message)
+        in_flight.possibly_executed || self.delivery.has_written_attempt(message)
     }
 }
 
 /// Builds the outgoing message of an attempt. The attempt times out at `timeout_at`, or at the message's
-/// deadline if that is earlier or `timeout_at` is 0.
+/// deadline if that is earlier or `timeout_at` is 0. It must be written by
+/// `deadline - WRITE_MARGIN_TICKS * tick`.
 fn outgoing_message(attempt: AttemptId, message: &Message, timeout_at: Time, tick: Time) -> OutgoingMessage {
     let deadline = message.deadline;
     OutgoingMessage {
@@ -223,6 +232,6 @@
         destination: message.destination,
         record: message.record.clone(),
         deadline: if timeout_at == 0 { deadline } else { timeout_at.min(deadline) },
-        depart_by: deadline.saturating_sub(DEPARTURE_MARGIN_TICKS * tick),
+        write_by: deadline.saturating_sub(WRITE_MARGIN_TICKS * tick),
     }
 }
--- a/crates/edge/src/core/clients.rs
+++ b/crates/edge/src/core/clients.rs
@@ -1,7 +1,8 @@
-//! Client connections: their frames, the requests without a response, and the order of responses.
+//! Client connections: received frames, pipelined requests and their responses, and backpressure.
 //!
-//! The responses of a connection are sent in the order of its requests. This module owns them until they are
-//! sent. It never decides what becomes of a message.
+//! Kafka clients pipeline requests, and the responses of a connection are sent in the order of its requests.
+//! A request without a response therefore holds back those behind it (head-of-line blocking). This module
+//! owns responses until they are sent. It never decides on the final answer of a message.
 
 mod connection;
 mod pending;
@@ -19,10 +20,10 @@
 use pending::PendingRequest;
 use std::collections::BTreeMap;
 
-/// The number of a client connection. The shell assigns it.
+/// The id of a client connection. The shell assigns it.
 pub type ClientId = u64;
 
-/// The record of a request that a message was made from.
+/// Where the record of a message stands in the requests of its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordPosition {
     pub(crate) client: ClientId,
@@ -34,12 +35,12 @@
     pub(crate) record: u32,
 }
 
-/// Whether a client connection is read.
+/// Whether a client connection is read. Pausing is the backpressure on a client at its limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadState {
-    /// A limit is reached, and nothing more is read.
+    /// The limit on requests without a response, or on unsent bytes of responses, is reached.
     Paused,
-    /// It is read.
+    /// Neither limit is reached.
     Reading,
 }
 
@@ -57,7 +58,8 @@
     connections: BTreeMap<ClientId, ClientConnection>,
     /// The connections with a deadline, by the earliest deadline of their requests.
     deadlines: TimeIndex<ClientId>,
-    /// How many records have been served, which gives their offsets.
+    /// How many records have been served on all connections. Served records are numbered by it, and the
+    /// number is the offset that clients are told.
     served_records: i64,
 }
 
@@ -82,14 +84,15 @@
         self.connections.insert(id, ClientConnection::new(max_frame_bytes));
     }
 
-    /// Adds received bytes. Returns `false` if there is no such connection.
+    /// Adds received bytes to the frames of a connection. Returns `false` if there is no such connection.
     pub(crate) fn receive(&mut self, id: ClientId, bytes: &[u8]) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         connection.frames.push(bytes);
         true
     }
 
-    /// Notes that the client sends no more requests. Returns `false` if there is no such connection.
+    /// Records that the client has shut down its sending side and sends no more requests. Returns `false` if
+    /// there is no such connection.
     pub(crate) fn half_close(&mut self, id: ClientId) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         connection.half_closed = true;
@@ -108,12 +111,13 @@
         self.connections.get(&id).is_some_and(|connection| connection.paused)
     }
 
-    /// Returns whether the client sends no more requests and has all its responses.
+    /// Returns whether the client has shut down its sending side and has all its responses.
     pub(crate) fn is_finished(&self, id: ClientId) -> bool {
         self.connections.get(&id).is_some_and(ClientConnection::is_finished)
     }
 
-    /// Pauses or resumes reading by the limits. Returns `None` if there is no such connection.
+    /// Pauses or resumes reading, by whether the connection is at one of its limits. Returns `None` if there
+    /// is no such connection.
     pub(crate) fn update_reading(&mut self, id: ClientId, limits: &Limits) -> Option<ReadUpdate> {
         let connection = self.connections.get_mut(&id)?;
         let paused = connection.is_at_limit(limits);
@@ -123,7 +127,7 @@
         Some(ReadUpdate { state, changed })
     }
 
-    /// Reads the next complete request of a client. Returns `None` if there is none.
+    /// Parses the next complete request of a client. Returns `None` if there is none.
     pub(crate) fn next_request(&mut self, id: ClientId) -> Result<Option<Request>, ProtocolError> {
         let Some(connection) = self.connections.get_mut(&id) else { return Ok(None) };
         match connection.frames.next_frame()? {
@@ -144,7 +148,8 @@
         }
     }
 
-    /// Queues a Produce request. The first of its records must have its final answer by `deadline`.
+    /// Queues a Produce request. Its earliest record must have its final answer by `deadline`, by the
+    /// monotonic clock; `Time::MAX` if none of its records could be read.
     pub(crate) fn enqueue_produce(&mut self, id: ClientId, produce: PendingProduce, deadline: Time) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.requests.push_back(PendingRequest::produce(produce, deadline));
@@ -173,7 +178,7 @@
         responses
     }
 
-    /// Returns the earliest deadline of any request, or `None` when none has one.
+    /// Returns the earliest deadline of the requests of all connections, or `None` when none has one.
     pub(crate) fn next_deadline(&self) -> Option<Time> {
         self.deadlines.earliest()
     }
@@ -185,7 +190,7 @@
         overdue_connections.flat_map(|connection| connection.overdue_messages(now)).collect()
     }
 
-    /// Removes a connection. Returns its messages without a final answer.
+    /// Removes a connection and its requests. Returns its messages without a final answer.
     pub(crate) fn remove(&mut self, id: ClientId) -> Vec<u32> {
         let Some(connection) = self.connections.remove(&id) else { return Vec::new() };
         self.deadlines.remove(connection.deadline, id);
--- a/crates/edge/src/core/clients/connection.rs
+++ b/crates/edge/src/core/clients/connection.rs
@@ -22,7 +22,8 @@
     pub(super) paused: bool,
     /// Whether the client has shut down its sending side.
     pub(super) half_closed: bool,
-    /// The earliest deadline of its requests, by which the deadline index holds it.
+    /// The earliest deadline of its requests, `Time::MAX` for none. The deadline index has the connection
+    /// under this time.
     pub(super) deadline: Time,
 }
 
@@ -39,12 +40,13 @@
         }
     }
 
-    /// Returns whether the client sends no more requests and has all its responses.
+    /// Returns whether the client has shut down its sending side and has all its responses.
     pub(super) fn is_finished(&self) -> bool {
         self.half_closed && self.requests.is_empty()
     }
 
-    /// Returns whether a limit is reached at which reading pauses.
+    /// Returns whether the limit on requests without a response or on unsent bytes is reached, at which
+    /// reading pauses.
     pub(super) fn is_at_limit(&self, limits: &Limits) -> bool {
         self.requests.len() >= limits.max_pipelined || self.unsent_bytes >= limits.max_unsent_bytes
     }
--- a/crates/edge/src/core/clients/pending.rs
+++ b/crates/edge/src/core/clients/pending.rs
@@ -1,4 +1,5 @@
-//! Requests of clients that have no response yet, and how their responses are built.
+//! Requests of clients that have no response yet, and the responses that follow from the final answers of
+//! their records.
 
 use crate::core::responses::{partition_answer, RecordOutcome};
 use crate::time::NANOS_PER_MS;
@@ -9,7 +10,7 @@
 /// One record of a partition that awaits its response.
 #[derive(Debug)]
 pub(crate) struct PendingRecord {
-    /// The message that the record became, or `None` if it was shed.
+    /// The message that was made of the record, or `None` if the record was shed.
     message: Option<u32>,
     /// Its final answer, once there is one.
     outcome: Option<RecordOutcome>,
@@ -63,6 +64,8 @@
 }
 
 impl PendingProduce {
+    /// Encodes the response. Its throttle time is the longest Retry-After of the partitions, rounded up to
+    /// milliseconds.
     fn into_response(self, served_records: &mut i64) -> Bytes {
         let mut retry_after = 0;
         let mut results = Vec::with_capacity(self.partitions.len());
@@ -98,13 +101,13 @@
         produce: PendingProduce,
         /// How many records have no final answer.
         open_records: usize,
-        /// When the first of its records must have its final answer.
+        /// The earliest deadline of its records, `Time::MAX` if none could be read.
         deadline: Time,
     },
 }
 
 impl PendingRequest {
-    /// A Produce request whose first record must have its final answer by `deadline`.
+    /// A Produce request whose records have `deadline` as their earliest deadline.
     pub(super) fn produce(produce: PendingProduce, deadline: Time) -> Self {
         let open_records = produce.partitions.iter().flat_map(PendingPartition::open_records).count();
         PendingRequest::Produce { produce, open_records, deadline }
@@ -146,8 +149,8 @@
         }
     }
 
-    /// Returns the response. `served_records` is how many records were served before, which gives the offsets
-    /// of those in the response.
+    /// Returns the response. `served_records` is how many records were served before. It is the offset of the
+    /// first served record in this response, and grows by the number of served records.
     pub(super) fn into_response(self, served_records: &mut i64) -> Bytes {
         match self {
             PendingRequest::Ready(response) => response,
--- a/crates/edge/src/core/clock.rs
+++ b/crates/edge/src/core/clock.rs
@@ -2,7 +2,7 @@
 
 use linnetcart::Time;
 
-/// The latest clock readings and how long before them an input may have arrived.
+/// The latest clock readings, in nanoseconds, and since when inputs that are read now may have arrived.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockReadings {
     now: Time,
@@ -20,17 +20,20 @@
         self.now
     }
 
-    /// Returns the earliest time at which an input that is read now can have arrived.
+    /// Returns the earliest time, by the monotonic clock, at which an input that is read now can have
+    /// arrived.
     pub(crate) fn earliest_arrival(&self) -> Time {
         self.earliest_arrival
     }
 
-    /// Returns the wall clock at [`ClockReadings::now`], or `None` if it has not been read.
+    /// Returns the wall clock at [`ClockReadings::now`], in nanoseconds since 1970, or `None` if it was never
+    /// set.
     pub(crate) fn wall(&self) -> Option<Time> {
         self.wall
     }
 
-    /// Sets the monotonic clock. A reading before the last one is ignored.
+    /// Sets the monotonic clock, and the earliest arrival to the same time. A reading before the last one is
+    /// ignored.
     pub(crate) fn advance(&mut self, now: Time) {
         self.now = self.now.max(now);
         self.earliest_arrival = self.now;
@@ -41,7 +44,8 @@
         self.wall = Some(wall);
     }
 
-    /// Sets the earliest time at which inputs can have arrived.
+    /// Sets the earliest time at which inputs that are read now can have arrived, at most the monotonic
+    /// clock.
     pub(crate) fn set_earliest_arrival(&mut self, since: Time) {
         self.earliest_arrival = since.min(self.now);
     }
--- a/crates/edge/src/core/deadline.rs
+++ b/crates/edge/src/core/deadline.rs
@@ -3,9 +3,10 @@
 //!
 //! The time remaining of a message counts from when its client submitted it, which may be long before it
 //! arrived. A record carries its creation time and may carry its deadline. Both are by the client's wall
-//! clock, which may differ from this courier's by a configured skew in either direction. The message is
-//! assumed to be as old as that skew allows, so that its answer is in time for any difference within the
-//! skew. Without such a time the deadline counts from the earliest possible arrival.
+//! clock, which may differ from this courier's by up to `max_skew` in either direction. A time `t` by the
+//! client's clock is therefore taken for the earliest corresponding reading of the monotonic clock,
+//! `now + t - (wall + max_skew)`, so that the answer is in time for any difference within the skew. Without
+//! such a time the deadline counts from the earliest possible arrival.
 
 use super::clock::ClockReadings;
 use linnetcart::Time;
@@ -13,20 +14,22 @@
 /// How wall clocks of clients are interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientClocks {
-    /// Greatest difference between a client's wall clock and this courier's, either way.
+    /// Greatest permitted difference between a client's wall clock and this courier's, in nanoseconds and in
+    /// either direction.
     pub(crate) max_skew: Time,
-    /// Whether the timestamp of a record is the time at which it was submitted.
+    /// Whether the timestamp of a record is the time at which its client created it. If not, timestamps are
+    /// ignored.
     pub(crate) timestamps_are_creation_times: bool,
 }
 
-/// The times that a client states for a message.
+/// The times that a client states for a message, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StatedTimes {
-    /// The time remaining when the message was submitted.
+    /// The time from submission to the deadline.
     pub(crate) time_left: Option<Time>,
-    /// The deadline, by the client's wall clock.
+    /// The deadline, since 1970 by the client's wall clock.
     pub(crate) deadline: Option<Time>,
-    /// When the message was created, by the client's wall clock.
+    /// When the message was created, since 1970 by the client's wall clock.
     pub(crate) created_at: Option<Time>,
 }
 
@@ -40,20 +43,28 @@
     pub(crate) clock_ahead: bool,
 }
 
-/// Computes a message's deadline, which is at most `longest` after the earliest possible arrival.
+/// Computes a message's deadline, by the courier's monotonic clock: the earliest of
+///
+/// - `earliest_arrival + time_left`,
+/// - `earliest(created_at) + time_left`, if timestamps are creation times and `created_at` is at most
+///   `wall + max_skew`,
+/// - `earliest(stated deadline)`.
+///
+/// `earliest(t)` is `now + t - (wall + max_skew)`, and `time_left` is the stated one, at most
+/// `max_time_left`. Without a reading of the wall clock only the first applies.
 pub(crate) fn message_deadline(
     clocks: ClientClocks,
     readings: ClockReadings,
     stated: StatedTimes,
-    longest: Time,
+    max_time_left: Time,
 ) -> MessageDeadline {
-    let time_left = stated.time_left.unwrap_or(longest).min(longest);
+    let time_left = stated.time_left.unwrap_or(max_time_left).min(max_time_left);
     let by_arrival = readings.earliest_arrival().saturating_add(time_left);
     let Some(wall) = readings.wall() else {
         return MessageDeadline { deadline: by_arrival, clock_ahead: false };
     };
     let latest_wall = wall.saturating_add(clocks.max_skew);
-    // Converts a time by the client's clock to the earliest corresponding reading of the monotonic clock.
+    // The earliest reading of the monotonic clock that corresponds to a time by the client's clock.
     let earliest = |client_time: Time| readings.now().saturating_add(client_time).saturating_sub(latest_wall);
 
     let created_at = stated.created_at.filter(|_| clocks.timestamps_are_creation_times);
--- a/crates/edge/src/core/deadline/tests.rs
+++ b/crates/edge/src/core/deadline/tests.rs
@@ -1,4 +1,4 @@
-//! Deadlines from stated times, clocks and arrival.
+//! Deadlines by the times that clients state, the clock readings and the time of arrival.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,14 +8,14 @@
 const NOW: Time = 1000 * S;
 const WALL: Time = 50_000 * S;
 
-/// The monotonic clock shows `NOW`; the message may have arrived since `earliest_arrival`.
+/// Readings at `NOW` without a wall clock. The message may have arrived since `earliest_arrival`.
 fn readings(earliest_arrival: Time) -> ClockReadings {
     let mut readings = ClockReadings::new(NOW);
     readings.set_earliest_arrival(earliest_arrival);
     readings
 }
 
-/// As [`readings`], with a wall clock.
+/// As [`readings`], with the wall clock at `WALL`.
 fn with_wall(earliest_arrival: Time) -> ClockReadings {
     let mut readings = readings(earliest_arrival);
     readings.set_wall(WALL);
--- a/crates/edge/src/core/decisions.rs
+++ b/crates/edge/src/core/decisions.rs
@@ -1,8 +1,10 @@
-//! When the decision policy runs, and on which events.
+//! Decision cycles: when the decision policy runs, and on which events.
+//!
+//! Events are collected and passed to the policy at most once per tick.
 
 use linnetcart::{Action, Dispatcher, Event, Time};
 
-/// A decision policy. In service it is always [`Dispatcher`]; experiments compare other policies with it.
+/// A decision policy. In production it is always [`Dispatcher`]; experiments compare other policies with it.
 pub trait DecisionPolicy: std::fmt::Debug {
     /// Runs one decision cycle: takes all events since the last one and returns the actions to carry out.
     fn decide(&mut self, now: Time, events: Vec<Event>) -> Vec<Action>;
@@ -14,10 +16,10 @@
     }
 }
 
-/// Makes a decision policy from the library's settings and a seed.
+/// Creates a decision policy from the library's settings and a seed.
 pub type PolicyFactory = fn(linnetcart::Settings, u64) -> Box<dyn DecisionPolicy>;
 
-/// Makes the policy of the decision library.
+/// Creates the policy of the decision library, a [`Dispatcher`].
 pub fn library(settings: linnetcart::Settings, seed: u64) -> Box<dyn DecisionPolicy> {
     Box::new(Dispatcher::new(settings, seed))
 }
@@ -26,11 +28,12 @@
 #[derive(Debug)]
 pub(crate) struct DecisionCycle {
     policy: Box<dyn DecisionPolicy>,
-    /// The shortest time between two cycles.
+    /// The shortest time between two cycles, in nanoseconds.
     tick: Time,
+    /// The events since the last cycle, in order.
     events: Vec<Event>,
     last_cycle: Time,
-    /// When the policy wants a cycle even without events, `Time::MAX` for never.
+    /// When the policy has requested a cycle even without events, `Time::MAX` for never.
     wake_up_at: Time,
     cycles: u64,
 }
@@ -40,7 +43,7 @@
         DecisionCycle { policy, tick, events: Vec::new(), last_cycle: 0, wake_up_at: Time::MAX, cycles: 0 }
     }
 
-    /// Returns the shortest time between two cycles.
+    /// Returns the shortest time between two cycles, in nanoseconds.
     pub(crate) fn tick(&self) -> Time {
         self.tick
     }
@@ -55,27 +58,29 @@
         self.events.push(event);
     }
 
-    /// Sets when a cycle runs even without events.
+    /// Sets when a cycle runs even without events. Replaces the time that was set before.
     pub(crate) fn set_wake_up(&mut self, at: Time) {
         self.wake_up_at = at;
     }
 
-    /// Returns when the next cycle is due, `Time::MAX` for never.
+    /// Returns when the next cycle is due: at once if there are events, otherwise at the wake-up time, but
+    /// never before `last_cycle + tick`. `Time::MAX` means never.
     pub(crate) fn next_cycle(&self) -> Time {
-        let wanted_at = if self.events.is_empty() { self.wake_up_at } else { 0 };
-        if wanted_at == Time::MAX {
+        let requested_at = if self.events.is_empty() { self.wake_up_at } else { 0 };
+        if requested_at == Time::MAX {
             return Time::MAX;
         }
-        wanted_at.max(self.last_cycle + self.tick)
+        requested_at.max(self.last_cycle + self.tick)
     }
 
     /// Returns whether a cycle is due.
     pub(crate) fn is_due(&self, now: Time) -> bool {
-        let wanted = !self.events.is_empty() || self.wake_up_at <= now;
-        wanted && now >= self.last_cycle + self.tick
+        let requested = !self.events.is_empty() || self.wake_up_at <= now;
+        requested && now >= self.last_cycle + self.tick
     }
 
-    /// Runs a cycle on all events since the last one. Returns the actions to carry out.
+    /// Runs a cycle on all events since the last one, whether or not one is due. Returns the actions to carry
+    /// out.
     pub(crate) fn decide(&mut self, now: Time) -> Vec<Action> {
         self.last_cycle = now;
         self.cycles += 1;
--- a/crates/edge/src/core/decisions/tests.rs
+++ b/crates/edge/src/core/decisions/tests.rs
@@ -1,8 +1,9 @@
-//! When cycles are due.
+//! When decision cycles are due: a tick after the last one if there are events, otherwise at the wake-up
+//! time.
 
 use super::*;
 
-/// Decides nothing.
+/// A policy that never returns an action.
 #[derive(Debug)]
 struct Idle;
 
--- a/crates/edge/src/core/delivery.rs
+++ b/crates/edge/src/core/delivery.rs
@@ -9,7 +9,8 @@
 //! connection limit may accept a connection and close it at once, so only the response to that request shows
 //! that the connection works. A message that waited for it is known not to have been executed.
 //!
-//! Delivery owns calls, attempts and upstream connections. It never decides where or when a message is sent.
+//! Delivery owns calls, attempts and upstream connections. Which message is sent when and to which endpoint
+//! is the decision library's choice.
 
 mod calls;
 mod connections;
@@ -30,16 +31,17 @@
 use linnetcart_courier_common::idle_reuse::MaxIdlePolicy;
 use linnetcart_kafka::{LoadReport, Record};
 
-/// The number of a connection to an endpoint. The core assigns it.
+/// The id of a connection to an endpoint. The core assigns it.
 pub type UpstreamId = u64;
 
 type CallId = u64;
 
-/// The correlation id of the version request that opens a connection. Those of calls begin at 1.
+/// The correlation id of the version request (ApiVersions), the first on a connection. Those of calls begin
+/// at 1.
 const VERSION_REQUEST: i32 = 0;
-/// The API version of the version request.
+/// The version of ApiVersions that the version request uses, the oldest, so that any endpoint can parse it.
 const VERSION_REQUEST_VERSION: i16 = 0;
-/// The outcome of an attempt that was not sent, for another reason than a lack of slots.
+/// The outcome of an attempt that was not sent for another reason than that all slots are occupied.
 const NOT_SENT: AttemptOutcome = AttemptOutcome::NotSent { no_capacity: false };
 
 /// A message to be sent to an endpoint.
@@ -49,26 +51,27 @@
     pub(crate) class: u8,
     pub(crate) destination: u32,
     pub(crate) record: Record,
-    /// When the attempt times out.
+    /// When the attempt times out, by the monotonic clock.
     pub(crate) deadline: Time,
-    /// When an attempt that has not been written is given up, early enough for its message to be rejected in
-    /// time.
-    pub(crate) depart_by: Time,
+    /// When the attempt is given up if it has not been written, early enough for its message to be rejected
+    /// before the message's deadline.
+    pub(crate) write_by: Time,
 }
 
 impl OutgoingMessage {
-    /// Returns when the attempt ends if it has not been written.
-    fn departure_deadline(&self) -> Time {
-        self.depart_by.min(self.deadline)
+    /// Returns when the attempt is given up if it has not been written.
+    fn write_deadline(&self) -> Time {
+        self.write_by.min(self.deadline)
     }
 }
 
-/// An attempt with its outcome.
+/// An attempt that has its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct FinishedAttempt {
     pub(crate) attempt: AttemptId,
     pub(crate) endpoint: u32,
     pub(crate) outcome: AttemptOutcome,
+    /// When its call was opened, by the monotonic clock.
     pub(crate) started_at: Time,
     /// The load report of the response, if it had one.
     pub(crate) load: Option<LoadReport>,
@@ -76,7 +79,7 @@
 
 /// A message that is about to be written to an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Departure {
+pub(crate) struct PendingWrite {
     pub(crate) message: u32,
     pub(crate) endpoint: u32,
 }
@@ -91,15 +94,18 @@
 /// Limits and timeouts of delivery.
 #[derive(Clone, Debug)]
 pub(crate) struct DeliverySettings {
-    /// The number of slots: calls that may be out at once.
+    /// The number of slots: how many calls that are not abandoned may be in flight at once.
     pub(crate) max_calls: usize,
+    /// How many calls without a response a connection may carry.
     pub(crate) calls_per_connection: usize,
+    /// After which time without an awaited call a connection is closed, in nanoseconds.
     pub(crate) idle_timeout: Time,
+    /// Within which time a connection must be established and the version request answered, in nanoseconds.
     pub(crate) connect_timeout: Time,
     pub(crate) max_frame_bytes: usize,
     /// The client id in requests of this courier.
     pub(crate) client_name: String,
-    /// The topic of each class.
+    /// The topic of each class, by class number.
     pub(crate) topics: Vec<String>,
 }
 
@@ -109,7 +115,7 @@
     }
 }
 
-/// Allocates the numbers of calls and connections, from one sequence.
+/// Allocates the ids of calls and connections, from one sequence.
 #[derive(Debug)]
 struct IdSequence {
     last: u64,
@@ -128,11 +134,13 @@
     settings: DeliverySettings,
     now: Time,
     ids: IdSequence,
+    /// How long a connection may have been idle and still be reused. Each connection lost after an idle
+    /// period shortens that time.
     connection_reuse: MaxIdlePolicy,
     calls: CallTable,
     connections: ConnectionPool,
     finished: Vec<FinishedAttempt>,
-    /// Rejections of abandoned calls that carry a Retry-After.
+    /// Rejections of abandoned calls whose response has a Retry-After.
     late_rejections: Vec<FinishedAttempt>,
     violations: Vec<EndpointViolation>,
     outputs: Vec<Output>,
@@ -154,13 +162,14 @@
         }
     }
 
+    /// Sets the monotonic clock, in nanoseconds.
     pub(crate) fn set_clock(&mut self, now: Time) {
         self.now = now;
     }
 
-    /// Returns how many slots are occupied.
-    pub(crate) fn calls_out(&self) -> usize {
-        self.calls.out()
+    /// Returns how many slots are occupied: the calls in flight that are not abandoned.
+    pub(crate) fn occupied_slots(&self) -> usize {
+        self.calls.occupied_slots()
     }
 
     pub(crate) fn connection_counts(&self) -> ConnectionCounts {
@@ -177,9 +186,9 @@
         self.connections.has_endpoint(endpoint)
     }
 
-    /// Returns whether an attempt of the message is out that has been written to its connection.
-    pub(crate) fn has_departed(&self, message: u32) -> bool {
-        self.calls.has_departed(message)
+    /// Returns whether an attempt of the message is in flight that has been written to its connection.
+    pub(crate) fn has_written_attempt(&self, message: u32) -> bool {
+        self.calls.has_written_attempt(message)
     }
 
     /// Returns the earliest time at which [`Delivery::expire`] must run, or `None` when nothing is pending.
@@ -194,7 +203,8 @@
         std::mem::take(&mut self.finished)
     }
 
-    /// Returns the rejections of abandoned calls since the last call, as far as they carry a Retry-After.
+    /// Returns the rejections with a Retry-After that abandoned calls got since the last call of this
+    /// function.
     pub(crate) fn take_late_rejections(&mut self) -> Vec<FinishedAttempt> {
         std::mem::take(&mut self.late_rejections)
     }
@@ -204,7 +214,7 @@
         std::mem::take(&mut self.violations)
     }
 
-    /// Returns the outputs for the shell since the last call.
+    /// Returns the instructions for the shell since the last call.
     pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/crates/edge/src/core/delivery/calls.rs
+++ b/crates/edge/src/core/delivery/calls.rs
@@ -1,5 +1,5 @@
-//! The calls to endpoints: how messages are batched into them, the attempts they carry, and the deadlines of
-//! those.
+//! The calls to endpoints: how messages are batched into calls, which attempts each call carries, and when
+//! the attempts time out.
 
 use super::{CallId, IdSequence, OutgoingMessage, UpstreamId};
 use crate::core::time_index::TimeIndex;
@@ -20,14 +20,16 @@
     pub(super) endpoint: u32,
     /// The connection that carries it, once it has been dispatched.
     pub(super) connection: Option<UpstreamId>,
-    /// The messages without an outcome. An abandoned call has none left.
+    /// The messages whose attempts have no outcome. An abandoned call has none left.
     pub(super) messages: Vec<OutgoingMessage>,
     /// The attempt that finished last.
     pub(super) last_finished: AttemptId,
-    /// The number of bytes that were queued on the connection before this call, once it has been written.
+    /// The position of its first byte in the byte stream of the connection, once it has been written.
     pub(super) stream_offset: Option<u64>,
+    /// When it was opened, by the monotonic clock.
     pub(super) started_at: Time,
-    /// How long its connection had been idle before it was dispatched.
+    /// How long its connection had been idle before it was dispatched, in nanoseconds; 0 if the connection
+    /// was new or carried other calls.
     pub(super) connection_idle_for: Time,
 }
 
@@ -51,7 +53,7 @@
 pub(super) struct RemovedAttempt {
     pub(super) endpoint: u32,
     pub(super) started_at: Time,
-    /// Whether it was the last attempt of its call.
+    /// Whether no attempt of its call is left without an outcome.
     pub(super) was_last: bool,
 }
 
@@ -63,16 +65,16 @@
     pub(super) outcome: AttemptOutcome,
 }
 
-/// All slots are occupied.
+/// A call cannot be opened: all slots are occupied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NoSlot;
 
-/// Bounds of calls.
+/// Bounds on the number of calls and on the messages of one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallBounds {
     /// The number of slots.
     pub(super) max_calls: usize,
-    /// How many messages one call to the endpoint may carry.
+    /// How many messages one call to the endpoint may carry, by the kind of its destination.
     pub(super) max_messages_per_call: usize,
 }
 
@@ -80,20 +82,22 @@
 #[derive(Debug, Default)]
 pub(super) struct CallTable {
     calls: BTreeMap<CallId, Call>,
-    /// The number of calls with a message that has no outcome. Each occupies a slot.
-    out: usize,
+    /// The number of calls that are not abandoned. Each occupies a slot.
+    occupied_slots: usize,
     by_attempt: BTreeMap<AttemptId, CallId>,
+    /// When each attempt must be checked next: at its write deadline, and once it has been written at its
+    /// deadline.
     deadlines: TimeIndex<AttemptId>,
-    /// For each endpoint the undispatched call that further messages may join.
+    /// For each endpoint the call that further messages of this cycle may join.
     joinable: BTreeMap<u32, CallId>,
-    /// The calls of this cycle, in the order in which they were opened.
+    /// The calls of this cycle, in the order in which they were opened. None has a connection yet.
     undispatched: Vec<CallId>,
 }
 
 impl CallTable {
     /// Returns how many slots are occupied.
-    pub(super) fn out(&self) -> usize {
-        self.out
+    pub(super) fn occupied_slots(&self) -> usize {
+        self.occupied_slots
     }
 
     pub(super) fn get(&self, id: CallId) -> Option<&Call> {
@@ -109,13 +113,13 @@
         self.by_attempt.get(&attempt).copied()
     }
 
-    /// Returns when the next attempt expires, or `None` when no attempt is out.
+    /// Returns when the next attempt must be checked for a timeout, or `None` when no attempt is in flight.
     pub(super) fn next_deadline(&self) -> Option<Time> {
         self.deadlines.earliest()
     }
 
-    /// Returns whether an attempt of the message is out that has been written to its connection.
-    pub(super) fn has_departed(&self, message: u32) -> bool {
+    /// Returns whether an attempt of the message is in flight that has been written to its connection.
+    pub(super) fn has_written_attempt(&self, message: u32) -> bool {
         let first = AttemptId { message, number: 0 };
         let last = AttemptId { message, number: u16::MAX };
         let mut calls = self.by_attempt.range(first..=last).map(|(_, call)| call);
@@ -123,7 +127,7 @@
     }
 
     /// Adds a message to this cycle's call to the endpoint if that has capacity left, otherwise to a new
-    /// call.
+    /// call, which needs a free slot.
     pub(super) fn add(
         &mut self,
         endpoint: u32,
@@ -135,11 +139,11 @@
         let attempt = message.attempt;
         let call_id = match self.joinable_call(endpoint, bounds.max_messages_per_call) {
             Some(id) => id,
-            None if self.out >= bounds.max_calls => return Err(NoSlot),
+            None if self.occupied_slots >= bounds.max_calls => return Err(NoSlot),
             None => self.open(ids.next_id(), endpoint, attempt, now),
         };
         self.by_attempt.insert(attempt, call_id);
-        self.deadlines.insert(message.departure_deadline(), attempt);
+        self.deadlines.insert(message.write_deadline(), attempt);
         if let Some(call) = self.calls.get_mut(&call_id) {
             call.messages.push(message);
         }
@@ -163,7 +167,7 @@
             connection_idle_for: 0,
         };
         self.calls.insert(id, call);
-        self.out += 1;
+        self.occupied_slots += 1;
         self.joinable.insert(endpoint, id);
         self.undispatched.push(id);
         id
@@ -184,9 +188,9 @@
         call.last_finished = attempt;
         let was_last = call.messages.is_empty();
         let removed = RemovedAttempt { endpoint: call.endpoint, started_at: call.started_at, was_last };
-        self.forget_attempt(&message);
+        self.remove_from_indexes(&message);
         if was_last {
-            self.out -= 1;
+            self.occupied_slots -= 1;
         }
         Some(removed)
     }
@@ -195,15 +199,17 @@
     pub(super) fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         if !call.messages.is_empty() {
-            self.out -= 1;
+            self.occupied_slots -= 1;
         }
         for message in &call.messages {
-            self.forget_attempt(message);
+            self.remove_from_indexes(message);
         }
         Some(call)
     }
 
-    /// Returns the next attempt that has timed out. It stays in the table until the caller removes it.
+    /// Returns the next attempt that has timed out: `NoConnection` if it was not written by its write
+    /// deadline, `TimedOut` if it was written and its deadline has passed. It stays in the table until the
+    /// caller removes it.
     pub(super) fn next_expired(&mut self, now: Time) -> Option<ExpiredAttempt> {
         while let Some(due) = self.deadlines.first_due(now) {
             let attempt = due.id;
@@ -221,16 +227,17 @@
                 let outcome = AttemptOutcome::TimedOut;
                 return Some(ExpiredAttempt { call: call_id, attempt, outcome });
             }
-            // It was written in time, so its deadline counts from here on.
+            // It was written in time. From here on its deadline applies instead of the write deadline.
             self.deadlines.remove(due.at, attempt);
             self.deadlines.insert(deadline, attempt);
         }
         None
     }
 
-    fn forget_attempt(&mut self, message: &OutgoingMessage) {
+    /// Removes an attempt from the indexes by attempt and by time.
+    fn remove_from_indexes(&mut self, message: &OutgoingMessage) {
         self.by_attempt.remove(&message.attempt);
         self.deadlines.remove(message.deadline, message.attempt);
-        self.deadlines.remove(message.departure_deadline(), message.attempt);
+        self.deadlines.remove(message.write_deadline(), message.attempt);
     }
 }
--- a/crates/edge/src/core/delivery/connections.rs
+++ b/crates/edge/src/core/delivery/connections.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to endpoints: which are idle, which carry abandoned calls, and when each times
-//! out.
+//! The connection pool: which connections to endpoints are idle, which carry abandoned calls, and when each
+//! times out.
 
 use super::{CallId, UpstreamId};
 use crate::core::time_index::TimeIndex;
@@ -11,9 +11,9 @@
 /// The progress of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It is being established, or the endpoint has not answered the version request yet.
+    /// It is being established, or the endpoint has not answered the version request yet. Calls wait.
     Connecting,
-    /// It carries calls in this version of Produce.
+    /// It carries calls, in the version of Produce that was negotiated.
     Ready { produce_version: i16 },
 }
 
@@ -24,7 +24,7 @@
     address: SocketAddr,
     pub(super) state: ConnectionState,
     pub(super) frames: Frames,
-    /// How many bytes were handed to the shell for it.
+    /// How many bytes were passed to the shell for it so far, the length of its byte stream.
     pub(super) queued_bytes: u64,
     last_correlation: i32,
     /// The calls that were written and have no response, by correlation id.
@@ -33,10 +33,12 @@
     pub(super) waiting_calls: Vec<CallId>,
     /// How many of the written calls are abandoned.
     pub(super) abandoned_calls: usize,
+    /// When its last call was dispatched, or when it last ceased to carry awaited calls.
     pub(super) last_used: Time,
-    /// When it is next checked for a timeout.
+    /// When it is next checked for a timeout: by the connect timeout, and once it is ready by the idle
+    /// timeout.
     timeout_at: Time,
-    /// The time by which the idle index of its endpoint holds it, or `None` if the index does not.
+    /// The time under which the idle index of its endpoint has it, or `None` if it is not idle.
     idle_since: Option<Time>,
 }
 
@@ -55,7 +57,8 @@
         self.written_calls.len() > self.abandoned_calls || !self.waiting_calls.is_empty()
     }
 
-    /// Returns the correlation id of the next call. 0 is that of the version request.
+    /// Returns the correlation id of the next call: 1 to `i32::MAX`, then 1 again. 0 is that of the version
+    /// request.
     pub(super) fn next_correlation(&mut self) -> i32 {
         self.last_correlation = self.last_correlation % i32::MAX + 1;
         self.last_correlation
@@ -66,13 +69,13 @@
 #[derive(Debug, Default)]
 struct EndpointConnections {
     all: BTreeSet<UpstreamId>,
-    /// The idle ones, by the time since when they are.
+    /// The idle ones, by the time since when they have been idle.
     idle: TimeIndex<UpstreamId>,
     /// Those with abandoned calls.
     abandoned: BTreeSet<UpstreamId>,
 }
 
-/// Numbers of connections.
+/// Connection counts for the status page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConnectionCounts {
     /// Those open or being established.
@@ -88,7 +91,7 @@
     pub(super) endpoint: u32,
     pub(super) address: SocketAddr,
     pub(super) max_frame_bytes: usize,
-    /// When it has failed if it is not ready.
+    /// When it is closed if the endpoint has not answered the version request, by the monotonic clock.
     pub(super) timeout_at: Time,
 }
 
@@ -134,9 +137,10 @@
 
     /// Returns a connection to the endpoint with capacity for another call, or `None` if there is none.
     ///
-    /// An idle connection is preferred, and among those the last used, so that the ones not needed reach the
-    /// idle timeout. Where connections carry several calls, the last used ready one is next, and then one
-    /// that is being established.
+    /// The most recently used idle connection is preferred (last in, first out), so that surplus connections
+    /// reach the idle timeout. Where a connection may carry several calls, the most recently used ready one
+    /// is next, and then one that is being established. A connection with abandoned calls, or to another
+    /// address than the endpoint's present one, is never used.
     pub(super) fn find(
         &self,
         endpoint: u32,
@@ -196,8 +200,8 @@
         Some(connection)
     }
 
-    /// Updates a connection after its calls changed. The idle timeout of a ready connection without awaited
-    /// calls starts now.
+    /// Updates a connection after its calls changed. If it is ready and no call on it is awaited, its idle
+    /// timeout starts now.
     pub(super) fn calls_changed(&mut self, id: UpstreamId, now: Time, idle_timeout: Time) {
         if let Some(connection) = self.connections.get_mut(&id) {
             if connection.is_ready() && !connection.has_awaited_calls() {
@@ -210,7 +214,7 @@
         self.update_index(id);
     }
 
-    /// Updates the index of its endpoint after a connection changed.
+    /// Updates the indexes of idle connections and of those with abandoned calls after a connection changed.
     pub(super) fn update_index(&mut self, id: UpstreamId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Some(of_endpoint) = self.by_endpoint.get_mut(&connection.endpoint) else { return };
@@ -231,8 +235,8 @@
         }
     }
 
-    /// Returns the next connection that timed out: either it did not become ready in time, or it has carried
-    /// no awaited call for the idle timeout.
+    /// Returns the next connection that has timed out: either it did not become ready within the connect
+    /// timeout, or it has carried no awaited call for the idle timeout.
     pub(super) fn take_timed_out(&mut self, now: Time) -> Option<UpstreamId> {
         while let Some(due) = self.timeouts.first_due(now) {
             self.timeouts.remove(due.at, due.id);
@@ -244,8 +248,8 @@
         None
     }
 
-    /// Returns the idle connections to an endpoint, longest idle first, as long as `condition` holds for the
-    /// time since when they are idle.
+    /// Returns the idle connections to an endpoint, longest idle first, up to the first for which `condition`
+    /// does not hold. Its argument is the time since when the connection has been idle.
     pub(super) fn idle_while(&self, endpoint: u32, condition: impl Fn(Time) -> bool) -> Vec<UpstreamId> {
         let Some(of_endpoint) = self.by_endpoint.get(&endpoint) else { return Vec::new() };
         let matching = of_endpoint.idle.iter().take_while(|entry| condition(entry.at));
--- a/crates/edge/src/core/delivery/dispatch.rs
+++ b/crates/edge/src/core/delivery/dispatch.rs
@@ -1,4 +1,5 @@
-//! How delivery sends: attempts join calls, calls go to connections, and requests are written.
+//! The send path: messages are batched into calls, calls are assigned to connections, and each call is
+//! written as a Produce request.
 
 use super::calls::CallBounds;
 use super::connections::{ConnectionState, NewConnection};
@@ -9,8 +10,9 @@
 use std::net::SocketAddr;
 
 impl Delivery {
-    /// Starts an attempt: it joins this cycle's call to the endpoint if that has capacity left, otherwise a
-    /// new call. Nothing is written before [`Delivery::dispatch`].
+    /// Starts an attempt: its message joins this cycle's call to the endpoint if that has capacity left,
+    /// otherwise a new call. Without a free slot for that the attempt is not sent. Nothing is written before
+    /// [`Delivery::dispatch`].
     pub(crate) fn send(&mut self, endpoint: u32, message: OutgoingMessage, max_messages_per_call: usize) {
         let attempt = message.attempt;
         let bounds = CallBounds { max_calls: self.settings.max_calls, max_messages_per_call };
@@ -20,7 +22,7 @@
         }
     }
 
-    /// Finishes an attempt that cannot be started.
+    /// Finishes an attempt as not sent, for another reason than that all slots are occupied.
     pub(crate) fn reject_unsent(&mut self, attempt: AttemptId, endpoint: u32) {
         self.finish_unsent(attempt, endpoint, NOT_SENT);
     }
@@ -30,7 +32,8 @@
         self.finished.push(FinishedAttempt { attempt, endpoint, outcome, started_at, load: None });
     }
 
-    /// Assigns the calls of this cycle to connections. `address` returns where an endpoint listens.
+    /// Assigns the calls of this cycle to connections, and writes those whose connection is ready. `address`
+    /// returns where an endpoint listens, or `None` if it has left the list; calls to it are not sent.
     pub(crate) fn dispatch(&mut self, address: impl Fn(u32) -> Option<SocketAddr>) {
         for id in self.calls.take_undispatched() {
             let Some(call) = self.calls.get(id).filter(|call| !call.messages.is_empty()) else { continue };
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Returns a connection with capacity for another call. Opens one if there is none.
+    /// Returns a connection with capacity for another call. Opens one if there is none. Connections that have
+    /// been idle for too long to be reused are closed first.
     fn acquire_connection(&mut self, endpoint: u32, address: SocketAddr) -> UpstreamId {
         self.close_unreliable_idle(endpoint);
         let found = self.connections.find(endpoint, address, self.settings.calls_per_connection);
--- a/crates/edge/src/core/delivery/outcomes.rs
+++ b/crates/edge/src/core/delivery/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts and calls end: by outcome, cancellation or timeout.
+//! The end of attempts and calls: by a response, by cancellation, by timeout, or with their connection.
 
 use super::calls::{Call, RemovedAttempt};
 use super::{AttemptId, CallId, Delivery, FinishedAttempt, UpstreamId, NOT_SENT};
@@ -20,7 +20,7 @@
         Some(removed)
     }
 
-    /// Finishes one attempt of a call without a response.
+    /// Finishes one attempt of a call without a response. Abandons the call if it was the last one.
     pub(super) fn give_up_attempt(&mut self, call_id: CallId, attempt: AttemptId, outcome: AttemptOutcome) {
         let removed = self.finish_attempt(call_id, attempt, outcome, None);
         if removed.is_some_and(|removed| removed.was_last) {
@@ -28,8 +28,9 @@
         }
     }
 
-    /// Abandons a call whose messages all have outcomes. A call that was written may still be executed, so
-    /// its connection waits for the response. A call that was not written is removed.
+    /// Abandons a call whose attempts all have outcomes. A call that was written may still be executed, so
+    /// its connection waits for the response and carries nothing else meanwhile. A call that was not written
+    /// is removed.
     fn abandon_call(&mut self, call_id: CallId) {
         let Some(call) = self.calls.get(call_id) else { return };
         let (endpoint, connection_id) = (call.endpoint, call.connection);
@@ -62,29 +63,30 @@
         }
     }
 
-    /// Updates the connection, if any, after its calls changed.
+    /// Updates a connection, if there is one, after its calls changed.
     pub(super) fn calls_changed(&mut self, id: Option<UpstreamId>) {
         if let Some(id) = id {
             self.connections.calls_changed(id, self.now, self.settings.idle_timeout);
         }
     }
 
-    /// Limits the connections with abandoned calls to one endpoint to the number of slots.
+    /// Closes the least recently used connection with abandoned calls to an endpoint if there are more of
+    /// them than slots.
     fn close_excess_abandoned(&mut self, endpoint: u32) {
         if let Some(oldest) = self.connections.excess_abandoned(endpoint, self.settings.max_calls) {
             self.close(oldest, AttemptOutcome::Reset);
         }
     }
 
-    /// Cancels an attempt. One that was not written is known not to have been executed.
+    /// Cancels an attempt. One that was not written ends as not sent, because it cannot have been executed.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         let Some(call_id) = self.calls.of_attempt(attempt) else { return };
-        let departed = self.calls.get(call_id).is_some_and(Call::is_written);
-        let outcome = if departed { AttemptOutcome::Cancelled } else { NOT_SENT };
+        let written = self.calls.get(call_id).is_some_and(Call::is_written);
+        let outcome = if written { AttemptOutcome::Cancelled } else { NOT_SENT };
         self.give_up_attempt(call_id, attempt, outcome);
     }
 
-    /// Ends the attempts and closes the connections that have timed out.
+    /// Finishes the attempts and closes the connections that have timed out.
     pub(crate) fn expire(&mut self) {
         while let Some(expired) = self.calls.next_expired(self.now) {
             self.give_up_attempt(expired.call, expired.attempt, expired.outcome);
--- a/crates/edge/src/core/delivery/produce.rs
+++ b/crates/edge/src/core/delivery/produce.rs
@@ -1,4 +1,4 @@
-//! Produce requests to endpoints: their encoding, and the outcomes that follow from their responses.
+//! Produce requests to endpoints: how a call is encoded as one, and which outcomes follow from the response.
 
 use super::calls::Call;
 use super::{AttemptId, DeliverySettings};
@@ -11,7 +11,7 @@
 use linnetcart_kafka::Record;
 use std::collections::BTreeMap;
 
-/// The `acks` value of a request that waits for all replicas.
+/// The `acks` value of Kafka clients that wait for all in-sync replicas.
 const ACKS_ALL: i16 = -1;
 
 /// The correlation id and version of a request.
@@ -21,7 +21,7 @@
     pub(super) version: i16,
 }
 
-/// The outcome of one attempt that its response states.
+/// The outcome of one attempt, as the response to its call states it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StatedOutcome {
     pub(super) attempt: AttemptId,
@@ -35,7 +35,8 @@
     destination: u32,
 }
 
-/// Encodes the Produce request of a call, its messages grouped by class and destination.
+/// Encodes the Produce request of a call, its messages grouped by class and destination. The request's
+/// timeout is the longest time that one of its attempts has left, in milliseconds.
 pub(super) fn encode_call(
     settings: &DeliverySettings,
     header: RequestHeader,
@@ -62,18 +63,18 @@
     client::produce(correlation, &settings.client_name, version, required, &targets)
 }
 
-/// Returns the Retry-After of a response in nanoseconds, 0 if it has none.
+/// Returns the Retry-After of a response in nanoseconds: its throttle time, 0 if it has none.
 pub(super) fn retry_after(reply: &ProduceReply) -> Time {
     u64::try_from(reply.throttle_ms).unwrap_or(0) * NANOS_PER_MS
 }
 
-/// Returns whether the endpoint rejected a partition for lack of capacity.
+/// Returns whether the endpoint rejected a partition because it is at its limit.
 pub(super) fn is_throttled(reply: &ProduceReply) -> bool {
     reply.parts.iter().any(|result| result.code == codes::THROTTLING_QUOTA_EXCEEDED)
 }
 
-/// Returns the outcome of each attempt of a call by its response. Where the response lacks a partition, the
-/// outcome is an error.
+/// Returns the outcome of each attempt of a call, by the error code of its partition in the response. Other
+/// codes than none and throttled, and a partition that the response lacks, are an error.
 pub(super) fn outcomes(settings: &DeliverySettings, call: &Call, reply: &ProduceReply) -> Vec<StatedOutcome> {
     let mut outcomes = Vec::with_capacity(call.messages.len());
     for message in &call.messages {
--- a/crates/edge/src/core/delivery/responses.rs
+++ b/crates/edge/src/core/delivery/responses.rs
@@ -1,9 +1,10 @@
-//! How delivery handles the responses of endpoints.
+//! The receive path: version responses complete the set-up of a connection, and Produce responses finish the
+//! attempts of calls.
 
 use super::connections::ConnectionState;
 use super::produce::{self, StatedOutcome};
 use super::{
-    AttemptId, CallId, Delivery, Departure, EndpointViolation, FinishedAttempt, UpstreamId, NOT_SENT,
+    AttemptId, CallId, Delivery, EndpointViolation, FinishedAttempt, PendingWrite, UpstreamId, NOT_SENT,
     VERSION_REQUEST,
 };
 use crate::core::error::ProtocolError;
@@ -14,13 +15,13 @@
 
 impl Delivery {
     /// Handles bytes that were received on a connection. Closes the connection if they violate the protocol.
-    /// `may_depart` returns whether a message may still be written to an endpoint.
-    pub(crate) fn receive(&mut self, id: UpstreamId, bytes: &[u8], may_depart: &dyn Fn(Departure) -> bool) {
+    /// `may_write` returns whether a message that waited for the connection may still be written to it.
+    pub(crate) fn receive(&mut self, id: UpstreamId, bytes: &[u8], may_write: &dyn Fn(PendingWrite) -> bool) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.frames.push(bytes);
         let endpoint = connection.endpoint;
         while self.connections.get(id).is_some() {
-            match self.receive_frame(id, may_depart) {
+            match self.receive_frame(id, may_write) {
                 Ok(FrameProgress::Processed) => {}
                 Ok(FrameProgress::Incomplete) => return,
                 Err(error) => {
@@ -34,16 +35,16 @@
         }
     }
 
-    /// Handles the next frame of a connection if it is complete.
+    /// Handles the next frame of a connection if all its bytes have been received.
     fn receive_frame(
         &mut self,
         id: UpstreamId,
-        may_depart: &dyn Fn(Departure) -> bool,
+        may_write: &dyn Fn(PendingWrite) -> bool,
     ) -> Result<FrameProgress, ProtocolError> {
         let Some(connection) = self.connections.get_mut(id) else { return Ok(FrameProgress::Incomplete) };
         let Some(frame) = connection.frames.next_frame()? else { return Ok(FrameProgress::Incomplete) };
         match connection.state {
-            ConnectionState::Connecting => self.receive_versions(id, &frame, may_depart)?,
+            ConnectionState::Connecting => self.receive_versions(id, &frame, may_write)?,
             ConnectionState::Ready { produce_version } => {
                 self.receive_response(id, &frame, produce_version)?
             }
@@ -52,20 +53,20 @@
     }
 
     /// Handles the response to the version request and writes the waiting calls. Each message is checked
-    /// again before that: while the connection was being established it may have been completed, its endpoint
-    /// may have begun to drain, and a Retry-After may have arrived.
+    /// again before that: while the connection was being established the message may have been completed, its
+    /// endpoint may have begun to drain, and a Retry-After may have arrived.
     fn receive_versions(
         &mut self,
         id: UpstreamId,
         frame: &Bytes,
-        may_depart: &dyn Fn(Departure) -> bool,
+        may_write: &dyn Fn(PendingWrite) -> bool,
     ) -> Result<(), ProtocolError> {
         let produce_version = negotiate_produce_version(frame)?;
         let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
         connection.state = ConnectionState::Ready { produce_version };
         let endpoint = connection.endpoint;
         for call_id in connection.waiting_calls.clone() {
-            for attempt in self.stale_attempts(call_id, endpoint, may_depart) {
+            for attempt in self.stale_attempts(call_id, endpoint, may_write) {
                 self.give_up_attempt(call_id, attempt, NOT_SENT);
             }
         }
@@ -79,11 +80,11 @@
         &self,
         call_id: CallId,
         endpoint: u32,
-        may_depart: &dyn Fn(Departure) -> bool,
+        may_write: &dyn Fn(PendingWrite) -> bool,
     ) -> Vec<AttemptId> {
         let Some(call) = self.calls.get(call_id) else { return Vec::new() };
         let attempts = call.messages.iter().map(|message| message.attempt);
-        attempts.filter(|attempt| !may_depart(Departure { message: attempt.message, endpoint })).collect()
+        attempts.filter(|attempt| !may_write(PendingWrite { message: attempt.message, endpoint })).collect()
     }
 
     /// Handles the response to a call: finishes the call's attempts and removes it.
@@ -110,8 +111,8 @@
         Ok(())
     }
 
-    /// Reports the Retry-After of a response to an abandoned call. It applies although no attempt of the call
-    /// is left to report it.
+    /// Reports the Retry-After of a response to an abandoned call, by the attempt of the call that finished
+    /// last. It applies although no attempt of the call is left to report it.
     fn report_late_rejection(&mut self, call_id: CallId, reply: &ProduceReply) {
         let Some(call) = self.calls.get(call_id).filter(|call| call.is_abandoned()) else { return };
         let retry_after = produce::retry_after(reply);
@@ -126,9 +127,10 @@
         }
     }
 
-    /// Records lost connections to an endpoint that has answered a call started at `answered_started_at`.
-    /// Abandoned calls that were started earlier, as the first on a connection that had been idle, count as
-    /// lost with it.
+    /// Records lost connections to an endpoint that has answered a call started at `answered_started_at`. An
+    /// abandoned call that was started earlier, as the first after an idle period of its connection, counts
+    /// as lost with the connection: the endpoint responds, but not there. Such a loss shortens the idle time
+    /// up to which connections are reused, once for each call.
     fn record_lost_connections(&mut self, endpoint: u32, answered_started_at: Time) {
         let abandoned = self.connections.abandoned(endpoint);
         for call_id in abandoned.flat_map(|connection| connection.written_calls.values()) {
@@ -140,7 +142,7 @@
     }
 }
 
-/// What became of the next frame of a connection.
+/// Whether a connection had a complete frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FrameProgress {
     /// It was complete and has been handled.
@@ -149,7 +151,8 @@
     Incomplete,
 }
 
-/// Returns the version of Produce for a connection, by the endpoint's response to the version request.
+/// Returns the version of Produce for a connection: the newest that both this courier and the endpoint offer,
+/// by the endpoint's response to the version request.
 fn negotiate_produce_version(frame: &Bytes) -> Result<i16, ProtocolError> {
     let ProduceVersions { correlation, offered } = client::read_produce_versions(frame)?;
     let offered = offered.ok_or(ProtocolError::ProduceNotOffered)?;
--- a/crates/edge/src/core/delivery/upstream.rs
+++ b/crates/edge/src/core/delivery/upstream.rs
@@ -1,4 +1,4 @@
-//! How delivery handles upstream connections that open, close and fail.
+//! Upstream connections that are established, closed or lost, and what that means for the calls on them.
 
 use super::{Delivery, UpstreamId, VERSION_REQUEST, VERSION_REQUEST_VERSION};
 use crate::core::Output;
@@ -6,41 +6,43 @@
 use linnetcart_kafka::client;
 use linnetcart_net::ConnectFailure;
 
-/// The outcomes of the calls of a connection that ends.
+/// The outcomes of the calls on a connection that is closed or lost.
 #[derive(Clone, Copy, Debug)]
 struct CallOutcomes {
-    /// Of those that may have been sent.
-    written: AttemptOutcome,
-    /// Of those that were not.
+    /// Of calls of which the endpoint may have received a byte.
+    possibly_sent: AttemptOutcome,
+    /// Of calls of which it cannot have received any.
     unsent: AttemptOutcome,
 }
 
 impl CallOutcomes {
-    fn written(written: AttemptOutcome) -> CallOutcomes {
-        CallOutcomes { written, unsent: AttemptOutcome::NoConnection }
+    fn possibly_sent(possibly_sent: AttemptOutcome) -> CallOutcomes {
+        CallOutcomes { possibly_sent, unsent: AttemptOutcome::NoConnection }
     }
 }
 
 impl Delivery {
-    /// Closes a connection. Calls that were written to it end with `written_outcome`.
+    /// Closes a connection. Calls that were written to it end with `written_outcome`, calls that wait for it
+    /// with `NoConnection`.
     pub(super) fn close(&mut self, id: UpstreamId, written_outcome: AttemptOutcome) {
         if self.connections.get(id).is_some() {
             self.outputs.push(Output::CloseUpstream(id));
-            self.remove_connection(id, u64::MAX, CallOutcomes::written(written_outcome));
+            self.remove_connection(id, u64::MAX, CallOutcomes::possibly_sent(written_outcome));
         }
     }
 
-    /// Removes a connection that has closed after the operating system accepted `accepted_bytes` of what was
-    /// queued there. Calls that begin after those bytes are known not to have been sent.
+    /// Removes a connection that was closed or lost, and finishes its calls. The operating system had
+    /// accepted the first `accepted_bytes` of its byte stream: a written call with `stream_offset <
+    /// accepted_bytes` may have been sent, all others were not.
     fn remove_connection(&mut self, id: UpstreamId, accepted_bytes: u64, outcomes: CallOutcomes) {
         let Some(connection) = self.connections.remove(id) else { return };
         for call_id in connection.written_calls.into_values() {
             let Some(call) = self.calls.get(call_id) else { continue };
-            if call.connection_idle_for > 0 && outcomes.written == AttemptOutcome::Reset {
+            if call.connection_idle_for > 0 && outcomes.possibly_sent == AttemptOutcome::Reset {
                 self.connection_reuse.record_loss(self.now, call.connection_idle_for);
             }
-            let departed = call.stream_offset.unwrap_or(0) < accepted_bytes;
-            let outcome = if departed { outcomes.written } else { outcomes.unsent };
+            let possibly_sent = call.stream_offset.unwrap_or(0) < accepted_bytes;
+            let outcome = if possibly_sent { outcomes.possibly_sent } else { outcomes.unsent };
             self.finish_call(call_id, outcome);
         }
         for call_id in connection.waiting_calls {
@@ -55,7 +57,10 @@
         }
     }
 
-    /// Closes the connections that have been idle for longer than connections are known to survive.
+    /// Closes the connections to an endpoint that have been idle for longer than [`MaxIdlePolicy`] permits
+    /// them to be reused. Endpoints and middleboxes may have dropped them without notice.
+    ///
+    /// [`MaxIdlePolicy`]: linnetcart_courier_common::idle_reuse::MaxIdlePolicy
     pub(super) fn close_unreliable_idle(&mut self, endpoint: u32) {
         let max_idle = self.connection_reuse.max_idle(self.now);
         let now = self.now;
@@ -78,18 +83,19 @@
         }
     }
 
-    /// Handles a connection that could not be established.
+    /// Handles a connection that could not be established. A failure of this machine ends its calls as a
+    /// local fault, which says nothing about the endpoint.
     pub(crate) fn connect_failed(&mut self, id: UpstreamId, failure: ConnectFailure) {
         let unsent = match failure {
             ConnectFailure::Local => AttemptOutcome::LocalFault,
             ConnectFailure::Remote => AttemptOutcome::NoConnection,
         };
-        self.remove_connection(id, 0, CallOutcomes { written: unsent, unsent });
+        self.remove_connection(id, 0, CallOutcomes { possibly_sent: unsent, unsent });
     }
 
-    /// Handles a connection that the peer closed, or that failed, after the operating system accepted
-    /// `accepted_bytes` for it.
+    /// Handles a connection that the endpoint closed, or that failed. The operating system had accepted
+    /// `accepted_bytes` of the bytes queued for it.
     pub(crate) fn disconnected(&mut self, id: UpstreamId, accepted_bytes: u64) {
-        self.remove_connection(id, accepted_bytes, CallOutcomes::written(AttemptOutcome::Reset));
+        self.remove_connection(id, accepted_bytes, CallOutcomes::possibly_sent(AttemptOutcome::Reset));
     }
 }
--- a/crates/edge/src/core/drain.rs
+++ b/crates/edge/src/core/drain.rs
@@ -1,15 +1,17 @@
-//! Graceful shutdown: whether the courier drains, and until when it works on the messages in flight.
+//! Graceful shutdown: whether the courier drains, and until when it still delivers the messages in flight.
 
 use linnetcart::Time;
 
-/// The state of the graceful shutdown.
+/// Whether the courier drains, and the deadline for the messages in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Drain {
+    /// `None` while the courier does not drain.
     deadline: Option<Time>,
 }
 
 impl Drain {
-    /// Begins to drain until `deadline`. If it drains already, the earlier deadline holds.
+    /// Begins to drain until `deadline`, by the monotonic clock. If the courier drains already, the earlier
+    /// of the two deadlines applies.
     pub(crate) fn begin(&mut self, deadline: Time) {
         self.deadline = Some(self.deadline.map_or(deadline, |earlier| earlier.min(deadline)));
     }
@@ -18,12 +20,13 @@
         self.deadline.is_some()
     }
 
-    /// Returns when the messages that are still in flight end, or `None` while it is not draining.
+    /// Returns when the messages that are still in flight get their final answers without further attempts,
+    /// or `None` while the courier does not drain.
     pub(crate) fn deadline(&self) -> Option<Time> {
         self.deadline
     }
 
-    /// Returns whether the deadline has passed.
+    /// Returns whether the courier drains and the deadline has passed.
     pub(crate) fn is_over(&self, now: Time) -> bool {
         self.deadline.is_some_and(|deadline| deadline <= now)
     }
--- a/crates/edge/src/core/endpoints.rs
+++ b/crates/edge/src/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in force and lookups in it.
+//! The endpoint list in force, and lookups by endpoint and by destination.
 
 use crate::settings::{EndpointEntry, EndpointList, EntryState};
 use linnetcart_kafka::server::PartitionState;
@@ -19,7 +19,7 @@
         &self.list
     }
 
-    /// Replaces the list in force.
+    /// Puts a list in force instead of the present one.
     pub(crate) fn replace(&mut self, list: EndpointList) {
         self.ready_counts.clear();
         for entry in list.entries.values() {
@@ -37,17 +37,19 @@
         self.get(endpoint).map(|entry| entry.address)
     }
 
-    /// Returns whether the endpoint accepts new messages according to the list.
+    /// Returns whether the endpoint is in the list as ready, and not as draining or removed.
     pub(crate) fn is_ready(&self, endpoint: u32) -> bool {
         self.get(endpoint).is_some_and(|entry| entry.state == EntryState::Ready)
     }
 
-    /// Returns the destination with this partition number, or `None` if the list does not have it.
+    /// Returns the destination whose number is this partition index, or `None` if the list has no endpoint of
+    /// it.
     pub(crate) fn destination(&self, partition: i32) -> Option<u32> {
         u32::try_from(partition).ok().filter(|destination| self.ready_counts.contains_key(destination))
     }
 
-    /// Returns, for each partition number up to the highest, whether its destination has a ready endpoint.
+    /// Returns, for each partition index up to the highest destination in the list, whether that destination
+    /// has a ready endpoint. Metadata responses have the same partitions in every topic.
     pub(crate) fn partition_states(&self) -> Vec<PartitionState> {
         let Some((&last, _)) = self.ready_counts.last_key_value() else { return Vec::new() };
         let state = |destination: u32| match self.ready_counts.get(&destination) {
--- a/crates/edge/src/core/error.rs
+++ b/crates/edge/src/core/error.rs
@@ -4,7 +4,8 @@
 use linnetcart_kafka::server::RequestError;
 use linnetcart_kafka::{FrameError, PRODUCE};
 
-/// A protocol violation by a client or an endpoint. The texts are those of the delivery events and logs.
+/// A protocol violation by a client or an endpoint. The text is the `reason` of the delivery event and of the
+/// log line.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ProtocolError {
     #[error(transparent)]
@@ -15,10 +16,10 @@
     Response(#[from] Malformed),
     #[error("acks=0 for {topics:?} leaves no way to give the final answer; use acks=all")]
     NoAcknowledgement { topics: Vec<String> },
-    #[error("it does not offer Produce")]
+    #[error("it does not offer the Produce API")]
     ProduceNotOffered,
-    #[error("it offers Produce {least} to {most}, ({}, {}) are spoken", PRODUCE.first, PRODUCE.last)]
+    #[error("it offers Produce versions {least} to {most}; supported: {} to {}", PRODUCE.first, PRODUCE.last)]
     ProduceVersions { least: i16, most: i16 },
-    #[error("it answers request {correlation}, which is not out")]
+    #[error("it sent a response with correlation id {correlation}, which no request in flight has")]
     UnexpectedResponse { correlation: i32 },
 }
--- a/crates/edge/src/core/in_flight.rs
+++ b/crates/edge/src/core/in_flight.rs
@@ -1,6 +1,6 @@
-//! The in-flight table: accepted messages that have no final answer yet or still have attempts out.
+//! The in-flight table: accepted messages that have no final answer yet or still have attempts in flight.
 //!
-//! The table owns the messages and their numbers. It never decides what becomes of a message.
+//! The table owns the messages and their numbers. It never decides on a message's attempts or final answer.
 
 use super::clients::RecordPosition;
 use linnetcart::{AttemptOutcome, Time};
@@ -16,11 +16,13 @@
     pub(crate) destination: u32,
     /// The record to deliver. It is empty once the message is completed.
     pub(crate) record: Record,
+    /// When it was accepted, by the monotonic clock.
     pub(crate) accepted_at: Time,
+    /// When it must have its final answer, by the monotonic clock.
     pub(crate) deadline: Time,
 }
 
-/// A message of the table and its progress.
+/// A message of the table with its attempts and its state.
 #[derive(Debug)]
 pub(crate) struct InFlightMessage {
     pub(crate) message: Message,
@@ -28,17 +30,19 @@
     pub(crate) possibly_executed: bool,
     /// Whether it has its final answer, or needs none because its client disconnected.
     completed: bool,
+    /// The size of its record when it was accepted.
     bytes: usize,
+    /// How many attempts were begun, including those that were not sent.
     attempts: u16,
-    attempts_out: u16,
+    attempts_in_flight: u16,
 }
 
-/// An attempt that was begun.
+/// An attempt that [`InFlightTable::begin_attempt`] has numbered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BegunAttempt {
     /// Its number among the message's attempts, from 0.
     pub(crate) number: u16,
-    /// Whether another attempt of the message is out.
+    /// Whether another attempt of the message is in flight.
     pub(crate) hedge: bool,
     /// Whether the message is completed, so that the attempt must not be sent.
     pub(crate) message_completed: bool,
@@ -53,12 +57,12 @@
     Completed,
 }
 
-/// How much the table contains.
+/// The messages in flight and their bytes, by which load is shed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
     /// The number of messages without a final answer.
     pub(crate) messages: usize,
-    /// The bytes of their records.
+    /// The bytes of their records when they were accepted.
     pub(crate) bytes: usize,
 }
 
@@ -105,7 +109,7 @@
         open.map(|(&number, _)| number).collect()
     }
 
-    /// Adds a message. Returns the number that it gets.
+    /// Adds a message. Returns the number that it gets, which no message of the table has.
     pub(crate) fn insert(&mut self, message: Message) -> u32 {
         let messages = &self.messages;
         let number = self.numbers.allocate(|candidate| messages.contains_key(&candidate));
@@ -118,7 +122,7 @@
             completed: false,
             bytes,
             attempts: 0,
-            attempts_out: 0,
+            attempts_in_flight: 0,
         };
         self.messages.insert(number, in_flight);
         number
@@ -133,7 +137,7 @@
         in_flight.message.record = Record::default();
         self.usage.messages -= 1;
         self.usage.bytes -= in_flight.bytes;
-        if in_flight.attempts_out == 0 {
+        if in_flight.attempts_in_flight == 0 {
             self.messages.remove(&number);
         }
     }
@@ -143,23 +147,24 @@
         let in_flight = self.messages.get_mut(&number)?;
         let begun = BegunAttempt {
             number: in_flight.attempts,
-            hedge: in_flight.attempts_out > 0,
+            hedge: in_flight.attempts_in_flight > 0,
             message_completed: in_flight.completed,
         };
         in_flight.attempts += 1;
-        in_flight.attempts_out += 1;
+        in_flight.attempts_in_flight += 1;
         Some(begun)
     }
 
-    /// Records the outcome of an attempt. Returns the state of its message.
+    /// Records the outcome of an attempt. Removes its message if that is completed and this was the last
+    /// attempt in flight. Returns the state of the message.
     pub(crate) fn finish_attempt(&mut self, number: u32, outcome: AttemptOutcome) -> MessageState {
         let Some(in_flight) = self.messages.get_mut(&number) else { return MessageState::Completed };
-        in_flight.attempts_out = in_flight.attempts_out.saturating_sub(1);
+        in_flight.attempts_in_flight = in_flight.attempts_in_flight.saturating_sub(1);
         in_flight.possibly_executed |= !outcome.not_executed();
         if !in_flight.completed {
             return MessageState::Open;
         }
-        if in_flight.attempts_out == 0 {
+        if in_flight.attempts_in_flight == 0 {
             self.messages.remove(&number);
         }
         MessageState::Completed
--- a/crates/edge/src/core/in_flight/tests.rs
+++ b/crates/edge/src/core/in_flight/tests.rs
@@ -1,4 +1,4 @@
-//! Messages in the table, from acceptance to the end of the last attempt.
+//! Messages in the in-flight table, from acceptance to the outcome of the last attempt.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn completed_message_with_an_attempt_out_stays_until_the_outcome() {
+fn completed_message_with_an_attempt_in_flight_stays_until_the_outcome() {
     let mut table = InFlightTable::new(u32::MAX);
     let number = table.insert(message(5));
     assert_eq!((number, table.usage()), (u32::MAX, Usage { messages: 1, bytes: 5 }));
--- a/crates/edge/src/core/interface.rs
+++ b/crates/edge/src/core/interface.rs
@@ -1,4 +1,5 @@
-//! What the core asks of the shell, and what it is started with.
+//! The interface to the shell: the instructions that the core returns, and the options that it is started
+//! with.
 
 use super::{ClientId, PolicyFactory, UpstreamId};
 use bytes::Bytes;
@@ -6,14 +7,14 @@
 use linnetcart_kafka::server::Broker;
 use std::net::SocketAddr;
 
-/// An instruction for the shell. Instructions are carried out in the order in which they are returned.
+/// An instruction for the shell, which carries instructions out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write to a client.
     ToClient(ClientId, Bytes),
-    /// Close a client's connection after everything written to it has been sent.
+    /// Close a client's connection once the operating system has accepted everything written to it.
     CloseClient(ClientId),
-    /// Stop reading from a client until it is resumed.
+    /// Stop reading from a client until [`Output::ResumeClient`], because it is at one of its limits.
     PauseClient(ClientId),
     /// Read from a client again.
     ResumeClient(ClientId),
@@ -21,23 +22,24 @@
     Connect(UpstreamId, SocketAddr),
     /// Write to an endpoint.
     ToUpstream(UpstreamId, Bytes),
-    /// Close a connection to an endpoint at once.
+    /// Close a connection to an endpoint at once, without sending what is still queued there.
     CloseUpstream(UpstreamId),
 }
 
 /// What the core is started with, apart from the settings.
 #[derive(Clone, Debug)]
 pub struct StartOptions {
-    /// The seed of the decisions' randomness.
+    /// The seed of the random numbers that the decision policy uses.
     pub seed: u64,
-    /// The monotonic clock, in nanoseconds.
+    /// The reading of the monotonic clock at the start, in nanoseconds.
     pub now: Time,
-    /// Where clients reach this courier.
+    /// The host and port at which clients reach this courier. The id is set from the settings.
     pub broker: Broker,
-    /// Distinguishes the message names that this process generates from those of other processes.
+    /// A number unique to this process. It is part of the message ids that the process generates, so that no
+    /// other process generates the same.
     pub run: u64,
-    /// The number of the first message.
+    /// The number of the first message. Numbers are counted up from it.
     pub first_number: u32,
-    /// Makes the decision policy. In service this is [`library`](super::library).
+    /// Creates the decision policy. In production this is [`library`](super::library).
     pub policy: PolicyFactory,
 }
--- a/crates/edge/src/core/requests.rs
+++ b/crates/edge/src/core/requests.rs
@@ -1,7 +1,7 @@
-//! How the core handles clients: their connections and requests, the acceptance of messages, and responses.
+//! Clients: how the core handles their connections and requests, accepts messages, and sends responses.
 
 use super::admission::{
-    AdmissionContext, AdmissionDecision, AdmittedRecord, CheckedPartition, ProduceOptions, Route,
+    AdmissionContext, AdmissionDecision, AdmittedRecord, CheckedPartition, ProduceOptions, ResolvedPartition,
 };
 use super::clients::{PendingPartition, PendingProduce, PendingRecord, ReadState, RecordPosition};
 use super::error::ProtocolError;
@@ -19,7 +19,7 @@
         self.clients.open(id, self.settings.limits.max_request_bytes);
     }
 
-    /// Handles bytes from a client.
+    /// Handles bytes from a client: processes the requests that they complete.
     pub fn client_received(&mut self, id: ClientId, bytes: &[u8]) {
         if self.clients.receive(id, bytes) {
             self.process_requests(id);
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Handles a client that disconnected. The answers to its messages are no longer needed.
+    /// Handles a client that disconnected. Its messages without a final answer are cancelled, because nobody
+    /// awaits the answers.
     pub fn client_disconnected(&mut self, id: ClientId) {
         for message in self.clients.remove(id) {
             let Some(in_flight) = self.in_flight.get(message) else { continue };
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Sets how many bytes of responses to a client the operating system has not accepted yet.
+    /// Sets how many bytes of responses to a client the operating system has not accepted yet. Resumes
+    /// reading if the client was paused and is below its limits again.
     pub fn set_client_backlog(&mut self, id: ClientId, bytes: usize) {
         self.clients.set_unsent_bytes(id, bytes);
         if self.clients.is_paused(id) {
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Processes the complete requests of a client up to its limits, at which reading from it pauses.
+    /// Processes the complete requests of a client until none is left or a limit is reached, at which reading
+    /// from the client pauses. Closes its connection if it violates the protocol.
     pub(super) fn process_requests(&mut self, id: ClientId) {
         loop {
             let Some(update) = self.clients.update_reading(id, &self.settings.limits) else { return };
@@ -86,6 +89,8 @@
         self.client_disconnected(id);
     }
 
+    /// Answers a request, or queues it until its records have their final answers. A Produce request with
+    /// `acks=0` has no response that could carry final answers, and is a violation.
     fn process_request(&mut self, id: ClientId, request: Request) -> Result<(), ProtocolError> {
         let Request { correlation, version, .. } = request;
         let response = match request.body {
@@ -108,7 +113,8 @@
         Ok(())
     }
 
-    /// Returns the named topics, or all of them for `None`, as Metadata describes them.
+    /// Returns the named topics, or all of them for `None`, for a Metadata response. A topic is a class, and
+    /// has a partition for each destination.
     fn topics(&self, names: Option<Vec<String>>) -> Vec<Topic> {
         let partitions = self.endpoints.partition_states();
         let all = || self.settings.classes.iter().map(|class| class.name.clone()).collect();
@@ -120,6 +126,8 @@
         topics
     }
 
+    /// Decides on each partition of a Produce request, accepts the admitted records, and queues the request
+    /// until all its records have their final answers.
     fn process_produce(&mut self, client: ClientId, correlation: i32, version: i16, produce: Produce) {
         let request = self.clients.next_request_number(client);
         let options = ProduceOptions { acks: produce.acks, transactional: produce.transactional };
@@ -146,12 +154,14 @@
         let CheckedPartition { topic, partition, decision, .. } = checked;
         let records = match decision {
             AdmissionDecision::Invalid(result) => return PendingPartition::Rejected(result),
-            AdmissionDecision::Shed { route, record_count, reason } => self.shed(route, record_count, reason),
-            AdmissionDecision::Admitted { route, records } => {
+            AdmissionDecision::Shed { resolved, record_count, reason } => {
+                self.shed(resolved, record_count, reason)
+            }
+            AdmissionDecision::Admitted { resolved, records } => {
                 let mut accepted = Vec::with_capacity(records.len());
                 for (index, record) in records.into_iter().enumerate() {
                     let position = RecordPosition { record: index as u32, ..first };
-                    accepted.push(PendingRecord::accepted(self.accept(position, route, record)));
+                    accepted.push(PendingRecord::accepted(self.accept(position, resolved, record)));
                 }
                 accepted
             }
@@ -159,9 +169,15 @@
         PendingPartition::Records { topic, partition, records }
     }
 
-    /// Sheds the records of a partition.
-    fn shed(&mut self, route: Route, record_count: usize, reason: RejectionReason) -> Vec<PendingRecord> {
-        let Route { class, destination } = route;
+    /// Rejects all records of a partition because of load or a drain, with the longest Retry-After that the
+    /// settings permit.
+    fn shed(
+        &mut self,
+        resolved: ResolvedPartition,
+        record_count: usize,
+        reason: RejectionReason,
+    ) -> Vec<PendingRecord> {
+        let ResolvedPartition { class, destination } = resolved;
         let retry_after = self.settings.permissions.max_retry_after_ms * NANOS_PER_MS;
         let mut shed = Vec::with_capacity(record_count);
         for _ in 0..record_count {
@@ -173,9 +189,15 @@
         shed
     }
 
-    /// Accepts a message and reports it to the library. Returns its number.
-    fn accept(&mut self, position: RecordPosition, route: Route, admitted: AdmittedRecord) -> u32 {
-        let Route { class, destination } = route;
+    /// Accepts a record as a message: adds it to the in-flight table and reports it to the library. Returns
+    /// the message's number.
+    fn accept(
+        &mut self,
+        position: RecordPosition,
+        resolved: ResolvedPartition,
+        admitted: AdmittedRecord,
+    ) -> u32 {
+        let ResolvedPartition { class, destination } = resolved;
         let AdmittedRecord { record, name, ordering_key, deadline, tenant } = admitted;
         let accepted_at = self.clock.now();
         let message = Message { position, class, destination, record, accepted_at, deadline };
@@ -199,8 +221,8 @@
         id
     }
 
-    /// Sends the responses of a client that are ready. Closes its connection if the client sends no more
-    /// requests and has all its responses.
+    /// Sends the responses of a client that are ready. Closes its connection if the client has shut down its
+    /// sending side and has all its responses.
     pub(super) fn send_responses(&mut self, id: ClientId) {
         for response in self.clients.take_responses(id) {
             self.outputs.push(Output::ToClient(id, response));
--- a/crates/edge/src/core/responses.rs
+++ b/crates/edge/src/core/responses.rs
@@ -1,4 +1,4 @@
-//! Results of the partitions of Produce requests, by the final answers of their records.
+//! The results of partitions in Produce responses, by the final answers of their records.
 
 use linnetcart::Time;
 use linnetcart_kafka::codes;
@@ -9,19 +9,21 @@
 pub(crate) enum RecordOutcome {
     /// Delivered.
     Served,
-    /// Rejected. Submitting it again does no harm.
+    /// Rejected. It is harmless to submit it again.
     Rejected {
-        /// After how many nanoseconds it may be submitted again, 0 if that is not known.
+        /// Retry-After: how long the client is to wait before it submits it again, in nanoseconds; 0 for no
+        /// such advice.
         retry_after: Time,
-        /// Whether no attempt of it can have been executed.
+        /// Whether it is certain that no attempt of it has been executed.
         not_executed: bool,
     },
-    /// Given up. It may have been executed.
+    /// Failed. It may have been executed.
     Failed,
 }
 
 impl RecordOutcome {
-    /// Returns the text for a record whose batch has several outcomes. It is part of the response.
+    /// Returns the error message for one record, in the response to a batch whose records have different
+    /// outcomes.
     fn text(&self) -> String {
         match self {
             RecordOutcome::Served => "served".into(),
@@ -38,14 +40,15 @@
     }
 }
 
-/// The result of one partition, and the Retry-After that the response must have on its account.
+/// The result of one partition, and its contribution to the throttle time of the response.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PartitionAnswer {
     pub(crate) result: PartitionResult,
+    /// The longest Retry-After of its rejected records, in nanoseconds; 0 for none.
     pub(crate) retry_after: Time,
 }
 
-/// Returns the result of a partition none of whose records was served, with this error code and text.
+/// Returns the result of a partition of which no record was served, with this error code and error message.
 pub(crate) fn rejected_partition(
     topic: &str,
     partition: i32,
@@ -65,17 +68,21 @@
 /// Returns the answer for a partition whose records have these outcomes. `offset` is that of the first served
 /// record.
 ///
-/// The code that clients retry states that no record of the batch was persisted. It is therefore used only
-/// where that holds: for a single rejected record, or for several of which none was ever forwarded. Records
-/// with different outcomes get a code that clients do not retry, and from Produce 8 on each record carries
-/// its own outcome.
+/// The error code depends on the outcomes:
+///
+/// - All served: none.
+/// - A single rejected record, or several of which none can have been executed: `NOT_ENOUGH_REPLICAS`. It
+///   states that no record was persisted, and clients submit the complete batch again.
+/// - All failed: `UNKNOWN_SERVER_ERROR`.
+/// - Anything else: `INVALID_RECORD`, on which clients do not retry. From Produce 8 on the result carries the
+///   outcome of each record.
 pub(crate) fn partition_answer(
     topic: &str,
     partition: i32,
     outcomes: &[RecordOutcome],
     offset: i64,
 ) -> PartitionAnswer {
-    let all_are = |wanted: RecordOutcome| outcomes.iter().all(|outcome| *outcome == wanted);
+    let all_are = |expected: RecordOutcome| outcomes.iter().all(|outcome| *outcome == expected);
     if all_are(RecordOutcome::Served) {
         let result =
             PartitionResult { topic: topic.to_owned(), partition, offset, ..PartitionResult::default() };
@@ -100,7 +107,8 @@
     PartitionAnswer { result, retry_after }
 }
 
-/// Returns whether a client may submit the complete batch again.
+/// Returns whether the response lets clients submit the complete batch again: for a single rejected record,
+/// or for records of which none can have been executed.
 fn is_retriable(outcomes: &[RecordOutcome]) -> bool {
     let not_executed =
         |outcome: &RecordOutcome| matches!(outcome, RecordOutcome::Rejected { not_executed: true, .. });
--- a/crates/edge/src/core/retry_after.rs
+++ b/crates/edge/src/core/retry_after.rs
@@ -1,4 +1,5 @@
-//! Retry-After times of endpoints: until when nothing may be sent under a limit.
+//! Retry-After: until when nothing may be sent to the endpoints of a limit after one of them has rejected a
+//! call.
 
 use crate::settings::{EndpointEntry, Settings};
 use linnetcart::Time;
@@ -14,7 +15,8 @@
 }
 
 impl LimitKey {
-    /// Returns the limit of an endpoint, which depends on the kind of its destination.
+    /// Returns the limit of an endpoint: its own if the kind of its destination has independent routes,
+    /// otherwise that of its destination.
     pub(crate) fn of(entry: &EndpointEntry, settings: &Settings) -> Self {
         let is_route = settings.kind(&entry.kind).is_some_and(|kind| kind.independent_routes);
         if is_route {
@@ -25,12 +27,13 @@
     }
 }
 
-/// Until when nothing may be sent, for each limit.
+/// Until when nothing may be sent under each limit, and which limit applies to each endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct RetryAfterTable {
+    /// When the latest Retry-After of each limit is over, by the monotonic clock.
     blocked_until: BTreeMap<LimitKey, Time>,
-    /// The limit of each endpoint in the list, and of those that left the list while a connection to them is
-    /// open.
+    /// The limit of each endpoint in the list, and of those that have left the list but may still respond
+    /// because a connection to them is open.
     limits: BTreeMap<u32, LimitKey>,
 }
 
@@ -53,8 +56,9 @@
         self.limits.extend(listed.map(|listed| (listed.endpoint, listed.limit)));
     }
 
-    /// Records the Retry-After of an endpoint, in nanoseconds from `now`; 0 means none. The latest time of a
-    /// limit holds.
+    /// Records the Retry-After of an endpoint, in nanoseconds from `now`; 0 means none. Its limit is blocked
+    /// until `now + retry_after`, or longer if an earlier Retry-After ends later. Does nothing for an
+    /// endpoint whose limit is not known.
     pub(crate) fn record(&mut self, endpoint: u32, retry_after: Time, now: Time) {
         if retry_after == 0 {
             return;
@@ -64,14 +68,14 @@
         *until = (*until).max(now + retry_after);
     }
 
-    /// Returns whether nothing may be sent to the endpoint now.
+    /// Returns whether a Retry-After forbids sending to the endpoint now.
     pub(crate) fn is_blocked(&self, endpoint: u32, now: Time) -> bool {
         let limit = self.limits.get(&endpoint);
         let until = limit.and_then(|limit| self.blocked_until.get(limit));
         until.is_some_and(|&until| until > now)
     }
 
-    /// Removes times that have passed.
+    /// Removes the limits whose Retry-After is over.
     pub(crate) fn expire(&mut self, now: Time) {
         self.blocked_until.retain(|_, until| *until > now);
     }
--- a/crates/edge/src/core/retry_after/tests.rs
+++ b/crates/edge/src/core/retry_after/tests.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a Retry-After blocks, and for how long.
+//! Which endpoints a Retry-After blocks, and until when.
 
 use super::*;
 
--- a/crates/edge/src/core/status.rs
+++ b/crates/edge/src/core/status.rs
@@ -1,20 +1,20 @@
-//! The figures of a courier for its status page, and the counters behind them.
+//! The values that a courier's status page shows, and the counters behind them.
 
 use crate::delivery_events::FinalAnswer;
 use linnetcart::Time;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The figures for the status page.
+/// The values that the status page shows. Counters start at 0 with the process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Status {
     /// Messages without a final answer.
     #[serde(rename = "held")]
     pub in_flight: usize,
-    /// Bytes of their records.
+    /// Bytes of their records when they were accepted.
     #[serde(rename = "held_bytes")]
     pub in_flight_bytes: usize,
-    /// Calls that occupy a slot.
+    /// Calls that occupy a slot: those in flight that are not abandoned.
     pub calls: usize,
     /// Connections to endpoints that are open or being established.
     #[serde(rename = "links")]
@@ -35,25 +35,26 @@
     pub draining: bool,
     /// The counters of each class, by its name.
     pub classes: BTreeMap<String, ClassCounters>,
-    /// Attempts so far.
+    /// Attempts started so far, including those that were not sent.
     pub attempts: u64,
     /// Decision cycles so far.
     #[serde(rename = "rounds")]
     pub decision_cycles: u64,
-    /// Messages that had expired when they arrived.
+    /// Messages whose deadline had passed when they arrived.
     #[serde(rename = "out_of_time")]
     pub expired_on_arrival: u64,
-    /// Messages whose client's clock is ahead by more than the settings permit.
+    /// Messages whose creation time was ignored, because their client's clock is ahead by more than the
+    /// settings permit.
     pub clocks_ahead: u64,
 }
 
 /// Counters of the messages of a class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassCounters {
-    /// Accepted.
+    /// Accepted for delivery.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Served.
+    /// Served, in or after the latency objective.
     pub served: u64,
     /// Served within the latency objective.
     #[serde(rename = "in_aim")]
@@ -61,12 +62,12 @@
     /// Rejected after they were accepted.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Failed: given up although they may have been executed.
     pub failed: u64,
     /// Cancelled because the client disconnected.
     #[serde(rename = "withdrawn")]
     pub client_cancelled: u64,
-    /// Rejected before they were accepted.
+    /// Rejected before they were accepted, because of load or a drain.
     #[serde(rename = "turned_away")]
     pub shed: u64,
 }
@@ -107,8 +108,8 @@
         self.classes[usize::from(class)].client_cancelled += 1;
     }
 
-    /// Counts a final answer. A served message that took `elapsed` counts as within its objective if that is
-    /// at most `objective`.
+    /// Counts a final answer, given `elapsed` after the message was accepted. A served message is within its
+    /// latency objective if `elapsed <= objective`, both in nanoseconds.
     pub(crate) fn completed(&mut self, class: u8, answer: FinalAnswer, elapsed: Time, objective: Time) {
         let counters = &mut self.classes[usize::from(class)];
         match answer {
--- a/crates/edge/src/core/status/tests.rs
+++ b/crates/edge/src/core/status/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// As version 0.1.0 wrote it before its fields were renamed in the code.
-const EARLIER: &str = concat!(
+/// The status page as version 0.1.0 wrote it. Its field names stay when fields are renamed in the code.
+const JSON_OF_0_1_0: &str = concat!(
     r#"{"held":0,"held_bytes":0,"calls":0,"links":0,"links_abandoned":0,"clients":0,"clients_paused":0"#,
     r#","list_version":1,"endpoints":4,"draining":false"#,
     r#","classes":{"order":{"taken":0,"served":0,"in_aim":0,"refused":0,"failed":0,"withdrawn":0"#,
@@ -23,5 +23,5 @@
         classes: classes.map(|name| (name.to_owned(), ClassCounters::default())).into(),
         ..Status::default()
     };
-    assert_eq!(serde_json::to_string(&status).expect("it is JSON"), EARLIER);
+    assert_eq!(serde_json::to_string(&status).expect("it is JSON"), JSON_OF_0_1_0);
 }
--- a/crates/edge/src/core/time_index.rs
+++ b/crates/edge/src/core/time_index.rs
@@ -1,4 +1,5 @@
-//! An index of ids by a time: deadlines, timeouts, and the times since when connections have been idle.
+//! An ordered index of ids by a time. It serves as a timer queue for deadlines and timeouts, and orders
+//! connections by the time since when they have been idle.
 
 use linnetcart::Time;
 use std::collections::BTreeSet;
--- a/crates/edge/src/core/time_index/tests.rs
+++ b/crates/edge/src/core/time_index/tests.rs
@@ -1,4 +1,4 @@
-//! The order of entries, and which of them are due.
+//! The order of the entries, and which of them are due at a time.
 
 use super::*;
 
