--- a/crates/edge/tests/core/attempts.rs
+++ b/crates/edge/tests/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their outcomes, when they may be sent, and how a Retry-After delays them.
+//! Attempts: their outcomes, when they may be sent, and until when a Retry-After withholds them.
 
 use crate::harness::*;
 use crate::{harness_with_client, harness_with_client_and_settings, CLIENT};
@@ -12,7 +12,8 @@
 fn response_after_a_cancellation_only_frees_the_connection() {
     let mut harness = harness_with_client();
     harness.send_one(CLIENT, "status", 1, "x");
-    // As long as no message was served, a hedge is sent to another endpoint after the latency objective.
+    // No message was served yet, so a hedge is sent to another endpoint after the latency objective (1000
+    // ms).
     harness.advance(1010);
     assert_eq!(harness.count_calls_with("x"), 2);
     let (first, second) = (harness.calls.remove(0), harness.calls.remove(0));
@@ -40,7 +41,7 @@
     assert_eq!(harness.results(CLIENT).len(), 1);
     harness.send_one(CLIENT, "status", 1, "y");
     harness.advance(680);
-    assert_eq!(harness.count_calls_with("y"), 0);
+    assert_eq!(harness.count_calls_with("y"), 0, "nothing is sent before the Retry-After is over");
     harness.advance(3000);
     assert!(harness.count_calls_with("y") > 0, "it is sent after the Retry-After");
 }
@@ -96,10 +97,12 @@
     assert_eq!(harness.results(CLIENT), [result(n, codes::NONE)]);
 }
 
-/// How an attempt on a new connection fails.
+/// How an attempt on a new connection fails. Only in the last two cases may it have been executed.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
+    /// The connection cannot be established.
     Refused,
+    /// The connection is not established within the connect timeout.
     TimedOut,
     /// The connection is closed before the version request is answered.
     NotNegotiated,
@@ -111,7 +114,7 @@
     Written,
 }
 
-/// Has the attempt that waits for this connection fail.
+/// Makes the attempt that waits for this connection fail.
 fn fail_attempt(harness: &mut CoreHarness, connection: u64, failure: Failure) {
     match failure {
         Failure::Refused => harness.core.upstream_connect_failed(connection, ConnectFailure::Remote),
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn attempt_that_never_left_is_known_not_to_be_executed() {
+fn attempt_of_which_no_byte_was_sent_is_known_not_to_be_executed() {
     for failure in [
         Failure::Refused,
         Failure::TimedOut,
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn attempt_cancelled_before_it_left_is_known_not_to_be_executed() {
+fn attempt_cancelled_before_it_was_written_is_known_not_to_be_executed() {
     let mut harness = harness_with_client();
     harness.auto_connect = false;
     let long = harness.send_one(CLIENT, "order", 1, "x");
@@ -221,7 +224,7 @@
 }
 
 #[test]
-fn messages_of_one_call_leave_together_and_share_its_outcome() {
+fn messages_of_one_call_are_sent_together_and_share_its_outcome() {
     let mut harness = harness_with_client();
     let batch: Vec<_> = (0..5).map(|n| record(&format!("r{n}"))).collect();
     let n = harness.send(CLIENT, &[target("status", 3, &batch)]);
--- a/crates/edge/tests/core/connections.rs
+++ b/crates/edge/tests/core/connections.rs
@@ -1,4 +1,4 @@
-//! Upstream connections: abandoned ones, and how long idle ones are reused.
+//! Upstream connections: when those with abandoned calls are closed, and how long idle ones are reused.
 
 use crate::harness::*;
 use crate::{harness_with_client, harness_with_client_and_settings, CLIENT};
@@ -12,8 +12,8 @@
     let second = harness.calls.remove(1);
     harness.reply_to(&second, codes::NONE, 0);
     harness.process_after_tick();
-    // The library closes the idle connection. The one with the abandoned call awaits the response for the
-    // idle timeout.
+    // The library closes the idle connection. The one with the abandoned call waits for the response until
+    // the idle timeout (5000 ms).
     let before = harness.connections.len();
     harness.advance(4950);
     let late = harness.connections.len();
@@ -21,7 +21,7 @@
     assert_eq!((before, late, harness.connections.len()), (1, 1, 0));
 }
 
-/// Responds to all calls, except those on the connection `lost`.
+/// Responds to all calls but those on the connection `lost`.
 fn reply_to_all(harness: &mut CoreHarness, lost: Option<u64>) {
     while let Some(index) = harness.calls.iter().position(|call| Some(call.connection) != lost) {
         let call = harness.calls.remove(index);
@@ -50,15 +50,16 @@
 fn idle_connection_lost_under_a_call_shortens_connection_reuse() {
     let mut doc = settings();
     doc["rates"] = "exact".into();
-    for how in ["reset", "silent"] {
+    // The connection is reset under the call, or the endpoint responds on other connections only.
+    for loss in ["reset", "silent"] {
         let mut harness = harness_with_client_and_settings(&doc);
         establish_connections(&mut harness);
         let open: Vec<u64> = harness.connections.keys().copied().collect();
         assert!(!open.is_empty(), "a connection is open");
         harness.advance(2000);
         let lost = connection_of(&mut harness, "first");
-        assert!(open.contains(&lost), "{how}: an idle connection is reused before the first loss");
-        if how == "reset" {
+        assert!(open.contains(&lost), "{loss}: an idle connection is reused before the first loss");
+        if loss == "reset" {
             let accepted_bytes = harness.connections.remove(&lost).unwrap().received_bytes;
             harness.core.upstream_disconnected(lost, accepted_bytes);
             harness.process_after_tick();
@@ -77,7 +78,7 @@
         let connection = connection_of(&mut harness, "later");
         assert!(
             !before.contains(&connection),
-            "{how}: connections are not reused after 1.9 s, as one was lost after 2 s"
+            "{loss}: connections are not reused after 1.9 s, as one was lost after 2 s"
         );
     }
 }
--- a/crates/edge/tests/core/deadlines.rs
+++ b/crates/edge/tests/core/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests, and the order of responses.
+//! Deadlines of requests, and head-of-line blocking: responses are sent in the order of the requests.
 
 use crate::harness::*;
 use crate::{harness_with_client, harness_with_client_and_settings, CLIENT};
@@ -14,8 +14,8 @@
     harness.advance(250);
     assert_eq!(harness.results(CLIENT), []);
     harness.advance(60);
-    // The message that is not idempotent has failed. The idempotent one is rejected, although it had seconds
-    // left.
+    // The message that is not idempotent has failed, because it may have been executed. The idempotent one is
+    // rejected, although its own deadline was seconds away.
     assert_eq!(
         harness.results(CLIENT),
         [result(long, codes::NOT_ENOUGH_REPLICAS), result(short, codes::UNKNOWN_SERVER_ERROR)]
@@ -61,7 +61,7 @@
     harness.auto_connect = false;
     let request =
         harness.request(ACKS_ALL, &[target("order", 2, &[record_with_header("x", "deadline-ms", "1000")])]);
-    // The request may have arrived at any time in the 700 ms before it is read.
+    // The process was stalled for 700 ms, at any time of which the request may have arrived.
     let arrived_since = harness.now;
     harness.now += 700 * MS;
     harness.core.clock(harness.now);
@@ -79,7 +79,7 @@
     let mut harness = harness_with_client();
     let created_ms_ago =
         |ms: u64| Record { timestamp: (WALL - ms) as i64, ..record_with_header("x", "deadline-ms", "2000") };
-    // Of 2,000 ms, 1,200 ms have passed, and clocks differ by at most 50 ms: 750 ms remain.
+    // 1,200 ms of 2,000 ms have passed, and clocks differ by at most 50 ms: 2000 - 1200 - 50 = 750 ms remain.
     harness.core.wall_clock(WALL * MS);
     harness.send(CLIENT, &[target("order", 2, &[created_ms_ago(1200)])]);
     harness.advance(740);
@@ -97,7 +97,7 @@
         (harness.results(CLIENT)[1], harness.count_calls_with("late")),
         (result(late, codes::NOT_ENOUGH_REPLICAS), 0)
     );
-    // The time of a clock that is an hour ahead is ignored, and counted.
+    // The creation time by a clock that is an hour ahead is ignored, and the message counted as such.
     harness.core.wall_clock((WALL - 3_600_000) * MS);
     harness
         .send(CLIENT, &[target("order", 1, &[Record { value: Some("ahead".into()), ..created_ms_ago(0) }])]);
@@ -107,7 +107,7 @@
         (harness.results(CLIENT)[2].code, status.expired_on_arrival, status.clocks_ahead),
         (codes::NONE, 1, 1)
     );
-    // A stated deadline applies where the time of the record does not.
+    // A stated deadline applies to a record without a creation time.
     let stated = record_with_header("stated", "deadline-at-ms", &(WALL + 500).to_string());
     harness.core.wall_clock(WALL * MS);
     harness.send(CLIENT, &[target("order", 1, &[stated])]);
--- a/crates/edge/tests/core/harness.rs
+++ b/crates/edge/tests/core/harness.rs
@@ -1,4 +1,5 @@
-//! Drives the core without sockets: a clock, clients, and endpoints that respond when the test says so.
+//! A harness that drives the core without sockets: a virtual clock, clients, and endpoints that respond when
+//! the test tells them to.
 
 mod documents;
 mod upstream;
@@ -14,36 +15,40 @@
 use linnetcart_kafka::{Frames, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Nanoseconds per millisecond.
 pub const MS: u64 = 1_000_000;
 /// The version of Produce that clients use.
 const PRODUCE_VERSION: i16 = 9;
-/// `acks` of a request that waits for all replicas.
+/// The `acks` value of a request that waits for all in-sync replicas.
 pub const ACKS_ALL: i16 = -1;
-/// The time-out in requests of clients. The core does not use it.
+/// The timeout that requests of clients state. The core does not use it.
 const REQUEST_TIMEOUT_MS: i32 = 30_000;
-/// The reading of the clock at the start.
+/// The reading of the monotonic clock at the start: one hour, in nanoseconds.
 const START: u64 = 3600 * 1000 * MS;
 const MAX_CLIENT_FRAME_BYTES: usize = 1 << 22;
 
+/// A core with virtual time, clients and endpoints.
 pub struct CoreHarness {
     pub core: Core,
+    /// The monotonic clock, in nanoseconds.
     pub now: u64,
     pub connections: BTreeMap<UpstreamId, UpstreamConnection>,
-    /// The connections that the core has requested and that are neither established nor failed.
+    /// The connections that the core has requested and that are neither established nor failed, oldest first.
     pub connecting: Vec<UpstreamId>,
-    /// The calls that endpoints have received and not responded to.
+    /// The calls that endpoints have received and not responded to, in the order of arrival.
     pub calls: Vec<Call>,
+    /// The Produce responses that each client has received.
     pub responses: BTreeMap<ClientId, Vec<ProduceReply>>,
-    /// When each of them was sent.
+    /// When each of them was received.
     pub response_times: BTreeMap<ClientId, Vec<u64>>,
-    /// The frames that each client has received.
+    /// The byte stream that each client has received, split into frames.
     frames: BTreeMap<ClientId, Frames>,
     /// The clients whose connections the core has closed.
     pub closed: BTreeSet<ClientId>,
-    /// The clients that are not read.
+    /// The clients that the core has paused.
     pub paused: BTreeSet<ClientId>,
-    /// Whether connections are established, and the version request answered, as soon as the core requests
-    /// them.
+    /// Whether connections are established as soon as the core requests them, and the version request
+    /// answered at once.
     pub auto_connect: bool,
     /// The correlation id of the last request of any client.
     pub correlation: i32,
@@ -51,11 +56,13 @@
 }
 
 impl CoreHarness {
-    /// Destination 1 (large) has the endpoints 10 and 11, destination 2 (small) 20, destination 3 (batch) 30.
+    /// A harness whose endpoint list has endpoints 10 and 11 for destination 1 (kind `large`), 20 for
+    /// destination 2 (`small`), and 30 for destination 3 (`batch`).
     pub fn new() -> CoreHarness {
         CoreHarness::start(&settings(), 1)
     }
 
+    /// As [`CoreHarness::new`], with these settings.
     pub fn with_settings(settings: &serde_json::Value) -> CoreHarness {
         CoreHarness::start(settings, 1)
     }
@@ -91,7 +98,7 @@
         harness
     }
 
-    /// Changes these entries of the endpoint list.
+    /// Updates the endpoint list with these entries and keeps the others.
     pub fn change_list(&mut self, entries: Vec<EndpointEntry>) {
         self.update_list(EndpointListUpdate { version: 0, complete: false, entries });
     }
@@ -105,7 +112,7 @@
 
     // ---- Iterations
 
-    /// Advances the clock by this time, and runs an iteration whenever one is due.
+    /// Advances the clock by this many milliseconds, and runs an iteration whenever one is due.
     pub fn advance(&mut self, ms: u64) {
         let until = self.now + ms * MS;
         while self.now < until {
@@ -121,7 +128,7 @@
         self.carry_out();
     }
 
-    /// Runs one iteration in which a decision cycle is due.
+    /// Advances the clock by one tick and runs an iteration, so that its events are decided on.
     pub fn process_after_tick(&mut self) {
         self.now += MS;
         self.process();
@@ -208,7 +215,7 @@
         self.send(id, &[target(topic, partition, &[record(value)])])
     }
 
-    /// Returns the results of all partitions in the responses to a client.
+    /// Returns the results of all partitions in the responses to a client, in the order of the responses.
     pub fn results(&self, id: ClientId) -> Vec<PartitionCode> {
         let mut results = Vec::new();
         for reply in self.responses.get(&id).into_iter().flatten() {
@@ -218,7 +225,7 @@
     }
 }
 
-/// The result of a partition in a response.
+/// The result of a partition in a Produce response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionCode {
     /// The correlation id of the request.
@@ -227,12 +234,12 @@
     pub code: i16,
 }
 
-/// The result of a partition in the response to this request.
+/// Returns the result of a partition in the response to the request with this correlation id.
 pub fn result(correlation: i32, code: i16) -> PartitionCode {
     PartitionCode { correlation, code }
 }
 
-/// Records for a partition of a topic.
+/// Returns the part of a Produce request for one partition.
 pub fn target<'a>(topic: &'a str, partition: i32, records: &'a [Record]) -> ProduceTarget<'a> {
     ProduceTarget { topic, partition, records }
 }
--- a/crates/edge/tests/core/harness/documents.rs
+++ b/crates/edge/tests/core/harness/documents.rs
@@ -1,10 +1,12 @@
-//! Settings, endpoints and records.
+//! The settings, endpoint list entries and records that tests use.
 
 use bytes::Bytes;
 use linnetcart_edge::settings::{EndpointEntry, EntryState};
 use linnetcart_kafka::{Record, RecordHeader};
 use std::net::SocketAddr;
 
+/// Returns settings with three classes (idempotent, keyed and ordered, not idempotent) and three kinds of
+/// destinations (shared limit, independent routes, calls with up to three messages). A tick is 1 ms.
 pub fn settings() -> serde_json::Value {
     serde_json::json!({
         "deployment": "test",
@@ -31,7 +33,7 @@
     })
 }
 
-/// Returns an entry of the endpoint list. The port of its address is its number.
+/// Returns an entry of the endpoint list without a rate limit. The port of its address is its id.
 pub fn entry(id: u32, destination: u32, kind: &str, state: EntryState) -> EndpointEntry {
     EndpointEntry {
         id,
@@ -44,6 +46,7 @@
     }
 }
 
+/// Returns a record with this value, without key, headers and creation time.
 pub fn record(value: &str) -> Record {
     Record { key: None, value: Some(Bytes::copy_from_slice(value.as_bytes())), headers: vec![], timestamp: 0 }
 }
--- a/crates/edge/tests/core/harness/upstream.rs
+++ b/crates/edge/tests/core/harness/upstream.rs
@@ -1,4 +1,4 @@
-//! The endpoints: the connections to them, the calls that they have received, and their responses.
+//! The endpoints of the harness: connections to them, the calls that they have received, and their responses.
 
 use super::CoreHarness;
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 pub struct UpstreamConnection {
     endpoint: u32,
     frames: Frames,
-    /// How many bytes the core has sent.
+    /// How many bytes the core has written to it.
     pub received_bytes: u64,
     /// Whether it is established.
     pub connected: bool,
@@ -29,10 +29,11 @@
     }
 }
 
-/// The records of a call for one partition.
+/// The part of a call for one partition.
 pub struct CallPart {
     topic: String,
     partition: i32,
+    /// The values of its records.
     pub values: Vec<String>,
 }
 
@@ -50,6 +51,7 @@
     pub endpoint: u32,
     pub correlation: i32,
     version: i16,
+    /// By the monotonic clock, in nanoseconds.
     pub received_at: u64,
     pub parts: Vec<CallPart>,
 }
@@ -109,14 +111,14 @@
         }
     }
 
-    /// Answers the version request.
+    /// Answers the version request, after which the core writes the calls that wait for the connection.
     pub fn negotiate(&mut self, id: UpstreamId) {
         self.core.clock(self.now);
         self.core.upstream_received(id, &server::api_versions(0, 0));
         self.carry_out();
     }
 
-    /// Responds to the call that contains this value, with this error code for all its partitions.
+    /// Responds to the last call that contains this value, with this error code for all its partitions.
     pub fn reply(&mut self, value: &str, code: i16, throttle_ms: i32) {
         let index = self.call_with(value);
         let call = self.calls.remove(index);
--- a/crates/edge/tests/core/main.rs
+++ b/crates/edge/tests/core/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the core without sockets and in virtual time: cases by hand, and random ones.
+//! Tests of the core without sockets and in virtual time: single cases, and a property test with random
+//! inputs.
 
 mod attempts;
 mod connections;
--- a/crates/edge/tests/core/random.rs
+++ b/crates/edge/tests/core/random.rs
@@ -1,5 +1,6 @@
-//! The core under random clients, endpoints, connection failures, list updates and clocks. The delivery rules
-//! are asserted for each call that is sent and each response.
+//! Property test: the core under random inputs of clients, endpoints, connections and list updates. The
+//! delivery rules (numbered as in the decision library) are checked for each call that is sent and each
+//! response.
 
 mod model;
 mod step;
@@ -9,7 +10,8 @@
 use linnetcart_edge::settings::EntryState;
 use linnetcart_kafka::{codes, server, RecordHeader};
 use model::{
-    limit, CallKey, CallOut, Model, SentMessage, UnansweredCalls, WaitingRequest, ENDPOINTS, ORDERED_CLASS,
+    limit, CallInFlight, CallKey, Model, SentMessage, UnansweredCalls, WaitingRequest, ENDPOINTS,
+    ORDERED_CLASS,
 };
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -20,13 +22,15 @@
 /// The deadlines of the classes, in milliseconds.
 const CLASS_DEADLINES_MS: [u64; 3] = [8000, 6000, 3000];
 const CLIENTS: std::ops::Range<u64> = 0..3;
-/// The time after the last step within which every request must have its response, in steps of 100 ms.
+/// How many times the clock advances by 100 ms after the last step. Then every request must have its
+/// response.
 const FINAL_ADVANCES: usize = 90;
-/// An error code without a meaning of its own for the core.
+/// An error code (`REQUEST_TIMED_OUT`) that the core treats like any other error.
 const OTHER_ERROR: i16 = 7;
 const REPLY_CODES: [i16; 4] =
     [codes::NONE, codes::THROTTLING_QUOTA_EXCEEDED, codes::UNKNOWN_SERVER_ERROR, OTHER_ERROR];
 
+/// Returns the element that a random index selects, or `None` if there is none.
 fn pick<T: Copy>(index: &Index, from: &[T]) -> Option<T> {
     (!from.is_empty()).then(|| from[index.index(from.len())])
 }
@@ -71,7 +75,7 @@
 
     fn send(&mut self, send: SendStep) {
         let client = u64::from(send.client);
-        if self.model.gone.contains(&client) || self.model.half_closed.contains(&client) {
+        if self.model.disconnected.contains(&client) || self.model.half_closed.contains(&client) {
             return;
         }
         let class = usize::from(send.class);
@@ -99,18 +103,19 @@
 
     fn reply(&mut self, call: &Index, code: i16, retry_after_ms: u16) {
         let is_open = |key: &CallKey| self.harness.connections.contains_key(&key.connection);
-        let keys: Vec<CallKey> = self.model.out.keys().copied().filter(is_open).collect();
+        let keys: Vec<CallKey> = self.model.calls_in_flight.keys().copied().filter(is_open).collect();
         let Some(key) = pick(call, &keys) else { return };
-        let CallOut { endpoint, names } = self.model.out.remove(&key).unwrap();
+        let CallInFlight { endpoint, names } = self.model.calls_in_flight.remove(&key).unwrap();
         let Some(index) = self.harness.calls.iter().position(|call| CallKey::of(call) == key) else { return };
         let call = self.harness.calls.remove(index);
         let throttled = code == codes::THROTTLING_QUOTA_EXCEEDED;
         let retry_after_ms = if throttled { retry_after_ms } else { 0 };
         if throttled {
             self.model.not_executed(&names);
-            // The limit of an abandoned call may no longer be known, so its Retry-After is not asserted.
-            let is_asserted = self.harness.core.status().abandoned_connections == 0;
-            if retry_after_ms > 0 && is_asserted {
+            // The core may no longer know the limit of an abandoned call's endpoint, so this Retry-After is
+            // not checked.
+            let is_checked = self.harness.core.status().abandoned_connections == 0;
+            if retry_after_ms > 0 && is_checked {
                 let until = self.model.blocked_until.entry(limit(endpoint)).or_default();
                 *until = (*until).max(self.harness.now + u64::from(retry_after_ms) * MS);
             }
@@ -167,7 +172,7 @@
     }
 
     fn disconnect_client(&mut self, client: u64) {
-        if self.model.gone.insert(client) {
+        if self.model.disconnected.insert(client) {
             self.model.client_disconnected(client);
             self.harness.core.client_disconnected(client);
             self.harness.process_after_tick();
@@ -175,7 +180,7 @@
     }
 
     fn half_close_client(&mut self, client: u64) {
-        if !self.model.gone.contains(&client) && self.model.half_closed.insert(client) {
+        if !self.model.disconnected.contains(&client) && self.model.half_closed.insert(client) {
             self.harness.core.client_half_closed(client);
             self.harness.process_after_tick();
         }
@@ -197,14 +202,14 @@
         self.model.check(&mut self.harness)
     }
 
-    /// Checks that after all timeouts every request has its response and nothing is left in flight.
+    /// Checks that after the last deadline every request has its response and nothing is left in flight.
     fn finish(mut self) -> Result<(), TestCaseError> {
         for _ in 0..FINAL_ADVANCES {
             self.harness.advance(100);
             self.check()?;
         }
         for (client, waiting) in &self.model.waiting {
-            prop_assert!(waiting.is_empty(), "rule 1: client {client} still waits for {waiting:?}");
+            prop_assert!(waiting.is_empty(), "rule 1: client {client} has no response to {waiting:?}");
         }
         let status = self.harness.core.status();
         prop_assert_eq!(
--- a/crates/edge/tests/core/random/model.rs
+++ b/crates/edge/tests/core/random/model.rs
@@ -1,4 +1,5 @@
-//! A model of the messages that were sent, and the delivery rules that calls and responses must satisfy.
+//! A model of the messages that were sent, by which each call and each response of the core is checked
+//! against the delivery rules.
 
 use crate::harness::{Call, CoreHarness, MS};
 use linnetcart_edge::delivery_events::DeliveryEvent;
@@ -48,17 +49,19 @@
     }
 }
 
-/// A call without a response.
+/// A call without a response, and the names of its messages.
 #[derive(Clone, Debug)]
-pub struct CallOut {
+pub struct CallInFlight {
     pub endpoint: u32,
     pub names: Vec<String>,
 }
 
-/// A request without a response.
+/// A Produce request without a response.
 #[derive(Clone, Debug)]
 pub struct WaitingRequest {
+    /// Its correlation id.
     pub number: i32,
+    /// The deadline of its messages, by the monotonic clock in nanoseconds.
     pub deadline: u64,
     pub names: Vec<String>,
 }
@@ -69,18 +72,21 @@
     pub class: usize,
     pub key: Option<String>,
     pub deadline: u64,
+    /// Its position in the order in which messages were sent.
     pub order: usize,
+    /// Whether the response to its request was received.
     pub answered: bool,
     /// Whether it has its final answer, although the response may still wait for other records of its
     /// request.
     pub completed: bool,
     /// Whether it was accepted. Only accepted messages count for the order of a key.
     pub accepted: bool,
-    /// How many attempts may have been executed.
+    /// How many of its attempts may have been executed.
     pub possible_executions: usize,
+    /// How many attempts endpoints have received.
     pub attempts: usize,
     /// Whether its client has disconnected.
-    pub gone: bool,
+    pub client_disconnected: bool,
 }
 
 /// Everything that was sent and received.
@@ -90,7 +96,7 @@
     /// The requests of each client without a response, in order.
     pub waiting: BTreeMap<u64, Vec<WaitingRequest>>,
     /// The calls without a response.
-    pub out: BTreeMap<CallKey, CallOut>,
+    pub calls_in_flight: BTreeMap<CallKey, CallInFlight>,
     /// Until when a Retry-After blocks a limit.
     pub blocked_until: BTreeMap<LimitKey, u64>,
     /// The endpoints that are ready.
@@ -99,15 +105,15 @@
     pub seen_calls: BTreeSet<CallKey>,
     /// How many responses were checked, by client.
     pub checked_responses: BTreeMap<u64, usize>,
-    /// The names of the accepted messages, by number.
+    /// The names of the accepted messages, by message number.
     pub names: BTreeMap<u32, String>,
     /// The clients that have disconnected.
-    pub gone: BTreeSet<u64>,
+    pub disconnected: BTreeSet<u64>,
     /// The clients that have shut down their sending side.
     pub half_closed: BTreeSet<u64>,
 }
 
-/// What is known of the calls without a response on a connection that was closed.
+/// What is certain about the calls without a response on a connection that was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnansweredCalls {
     NotExecuted,
@@ -165,20 +171,20 @@
                 message.possible_executions += 1;
                 message.attempts += 1;
             }
-            self.out.insert(CallKey::of(call), CallOut { endpoint: call.endpoint, names });
+            self.calls_in_flight.insert(CallKey::of(call), CallInFlight { endpoint: call.endpoint, names });
         }
         Ok(())
     }
 
     fn check_call(&self, call: &Call) -> Result<(), TestCaseError> {
-        prop_assert!(self.ready.contains(&call.endpoint), "rule 3: {} is not in service", call.endpoint);
+        prop_assert!(self.ready.contains(&call.endpoint), "rule 3: endpoint {} is not ready", call.endpoint);
         let blocked_until = self.blocked_until.get(&limit(call.endpoint)).copied().unwrap_or(0);
         let early = blocked_until.saturating_sub(call.received_at);
-        prop_assert!(early == 0, "rule 6: {} ms too early", early / MS);
+        prop_assert!(early == 0, "rule 6: {} ms before the Retry-After is over", early / MS);
         for name in call.values() {
             let message = &self.sent[name];
-            let is_over = message.answered || call.received_at >= message.deadline;
-            prop_assert!(!is_over, "rule 1: {name} is over");
+            let is_answered_or_expired = message.answered || call.received_at >= message.deadline;
+            prop_assert!(!is_answered_or_expired, "rule 1: {name} has its answer or has expired");
             let is_repeatable = message.class != NOT_IDEMPOTENT_CLASS || message.possible_executions == 0;
             prop_assert!(is_repeatable, "rule 2: {name} may have been executed");
             prop_assert!(message.attempts < MAX_ATTEMPTS, "{name} has had all its attempts");
@@ -194,7 +200,7 @@
         }
         self.sent.values().any(|other| {
             let is_earlier = other.order < message.order;
-            let is_open = other.accepted && !other.answered && !other.gone && !other.completed;
+            let is_open = other.accepted && !other.answered && !other.client_disconnected && !other.completed;
             other.class == ORDERED_CLASS && other.key == message.key && is_earlier && is_open
         })
     }
@@ -223,7 +229,7 @@
         let WaitingRequest { number, deadline, names } = waiting.remove(0);
         prop_assert_eq!(number, reply.correlation, "responses are sent in order");
         let code = reply.parts[0].code;
-        // A request that was never accepted has no deadline of its own: it waits for the responses before it.
+        // A request for an unknown partition has no deadline: its response waits for those before it.
         let has_deadline = code != codes::UNKNOWN_TOPIC_OR_PARTITION;
         let late = sent_at.saturating_sub(deadline);
         prop_assert!(!has_deadline || late <= MS, "rule 1: {} ms late", late / MS);
@@ -251,11 +257,11 @@
 
     /// Removes the calls on a connection that was closed.
     pub fn connection_closed(&mut self, connection: u64, calls: UnansweredCalls) {
-        for (key, call) in self.out.clone() {
+        for (key, call) in self.calls_in_flight.clone() {
             if key.connection != connection {
                 continue;
             }
-            self.out.remove(&key);
+            self.calls_in_flight.remove(&key);
             if calls == UnansweredCalls::NotExecuted {
                 self.not_executed(&call.names);
             }
@@ -266,7 +272,7 @@
     pub fn client_disconnected(&mut self, client: u64) {
         for request in std::mem::take(self.waiting.get_mut(&client).unwrap()) {
             for name in request.names {
-                self.sent.get_mut(&name).unwrap().gone = true;
+                self.sent.get_mut(&name).unwrap().client_disconnected = true;
             }
         }
     }
--- a/crates/edge/tests/core/random/step.rs
+++ b/crates/edge/tests/core/random/step.rs
@@ -1,4 +1,4 @@
-//! The random steps.
+//! The random steps of the property test, and how they are generated.
 
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -14,15 +14,19 @@
         code: u8,
         retry_after_ms: u16,
     },
-    /// Closes a connection after the endpoint read nothing, all but one byte, or everything.
+    /// Closes a connection after the operating system accepted no byte, all but one, or all of them (`read` 0
+    /// to 2).
     Disconnect {
         connection: Index,
         read: u8,
     },
+    /// Establishes a requested connection.
     Connect(Index),
+    /// Fails a requested connection.
     FailConnect(Index),
+    /// Answers the version request on a connection.
     Negotiate(Index),
-    /// Sends bytes that violate the protocol.
+    /// Sends a response with an unknown correlation id, which violates the protocol.
     Garbage(Index),
     DisconnectClient(u8),
     HalfCloseClient(u8),
@@ -39,13 +43,13 @@
     pub client: u8,
     pub class: u8,
     pub destination: u8,
-    /// 0 for no key.
+    /// The number of the ordering key, 0 for none. Only the ordered class uses it.
     pub key: u8,
     pub time_left_ms: u16,
     pub record_count: u8,
 }
 
-/// Generates steps.
+/// Generates a step. The weights favour steps by which calls are sent and answered.
 pub fn step() -> impl Strategy<Value = Step> {
     let call = any::<Index>();
     prop_oneof![
@@ -66,10 +70,10 @@
 
 fn send_step() -> impl Strategy<Value = SendStep> {
     (0u8..3, 0u8..3, 0u8..3, 0u8..3, 50u16..4000, 1u8..4).prop_map(
-        |(client, class, place, key, time_left_ms, record_count)| SendStep {
+        |(client, class, destination_index, key, time_left_ms, record_count)| SendStep {
             client,
             class,
-            destination: place + 1,
+            destination: destination_index + 1,
             key,
             time_left_ms,
             record_count,
--- a/crates/edge/tests/core/requests.rs
+++ b/crates/edge/tests/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: admission, load shedding, pausing, and draining.
+//! Requests of clients: admission, load shedding, backpressure, and draining.
 
 use crate::harness::*;
 use crate::{harness_with_client, harness_with_client_and_settings, CLIENT};
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn batch_that_never_left_is_rejected_as_retriable() {
+fn batch_that_was_never_sent_is_rejected_as_retriable() {
     let mut harness = harness_with_client();
     harness.auto_connect = false;
     let n = harness.send(CLIENT, &[target("order", 1, &[record("a"), record("b")])]);
     harness.advance(3000);
-    // No connection was established in all that time.
+    // No connection was established before the deadline (3000 ms).
     let first = harness.results(CLIENT).first().copied();
     assert_eq!(first, Some(result(n, codes::NOT_ENOUGH_REPLICAS)));
     assert!(harness.calls.is_empty());
@@ -45,18 +45,18 @@
 #[test]
 fn produce_request_that_is_invalid_is_rejected_completely() {
     let mut harness = harness_with_client();
-    let unknown = harness.send_one(CLIENT, "nothing", 1, "x");
-    let nowhere = harness.send_one(CLIENT, "status", 77, "x");
-    let negative = harness.send_one(CLIENT, "status", -1, "x");
-    let wrong = harness.send(
+    let unknown_class = harness.send_one(CLIENT, "nothing", 1, "x");
+    let unknown_destination = harness.send_one(CLIENT, "status", 77, "x");
+    let negative_partition = harness.send_one(CLIENT, "status", -1, "x");
+    let invalid_header = harness.send(
         CLIENT,
         &[target("status", 1, &[record("fine"), record_with_header("x", "deadline-ms", "soon")])],
     );
     let results = harness.results(CLIENT);
-    assert_eq!(results[0], result(unknown, codes::UNKNOWN_TOPIC_OR_PARTITION));
-    assert_eq!(results[1], result(nowhere, codes::UNKNOWN_TOPIC_OR_PARTITION));
-    assert_eq!(results[2], result(negative, codes::UNKNOWN_TOPIC_OR_PARTITION));
-    assert_eq!(results[3], result(wrong, codes::INVALID_RECORD));
+    assert_eq!(results[0], result(unknown_class, codes::UNKNOWN_TOPIC_OR_PARTITION));
+    assert_eq!(results[1], result(unknown_destination, codes::UNKNOWN_TOPIC_OR_PARTITION));
+    assert_eq!(results[2], result(negative_partition, codes::UNKNOWN_TOPIC_OR_PARTITION));
+    assert_eq!(results[3], result(invalid_header, codes::INVALID_RECORD));
     assert!(harness.responses[&CLIENT][3].parts[0].record_errors[0].message.contains("deadline-ms"));
     assert!(harness.calls.is_empty(), "no record of an invalid batch is accepted");
     let request = harness.request(0, &[target("status", 1, &[record("x")])]);
@@ -110,7 +110,7 @@
     doc["limits"]["pipelined"] = 4.into();
     let mut harness = harness_with_client_and_settings(&doc);
     harness.connect_client(2);
-    // No response is reported as sent, so their bytes reach the limit.
+    // The backlog is never reported as sent, so the limit on unsent bytes is reached.
     let metadata = linnetcart_kafka::client::metadata(1, "t", 9, None).unwrap();
     for _ in 0..200 {
         harness.core.client_received(CLIENT, &metadata);
@@ -120,13 +120,13 @@
     let n = harness.send_one(2, "status", 1, "other");
     harness.reply("other", codes::NONE, 0);
     assert_eq!(harness.results(2), [result(n, codes::NONE)]);
-    // The client reads, so its requests are processed.
+    // The client reads its responses, so its remaining requests are processed.
     for _ in 0..200 {
         harness.core.set_client_backlog(CLIENT, 0);
         harness.process();
     }
     assert!(!harness.paused.contains(&CLIENT));
-    // Requests without a response are limited too.
+    // The number of requests without a response is limited too (`pipelined`).
     for n in 0..6 {
         harness.send_one(2, "status", 1, &format!("p{n}"));
     }
