--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -64,7 +64,8 @@
 use retry_after::{EndpointLimit, LimitKey, RetryAfterTable};
 use status::Counters;
 
-/// The courier.
+/// One courier: the parts of the module's table, and the outputs and delivery events that the shell has not
+/// taken yet.
 #[derive(Debug)]
 pub struct Core {
     settings: Settings,
@@ -114,14 +115,14 @@
         }
     }
 
-    /// Removes and returns the instructions for the shell since the last call.
+    /// Removes and returns the instructions for the shell.
     pub fn outputs(&mut self) -> Vec<Output> {
         let mut outputs = std::mem::take(&mut self.outputs);
         outputs.extend(self.delivery.take_outputs());
         outputs
     }
 
-    /// Removes and returns the delivery events since the last call.
+    /// Removes and returns the delivery events.
     pub fn delivery_events(&mut self) -> Vec<DeliveryEvent> {
         std::mem::take(&mut self.delivery_events)
     }
@@ -224,7 +225,7 @@
         // Requests are completed a tick before their deadline, see `process`.
         let request_deadline =
             self.clients.next_deadline().map(|at| at.saturating_sub(self.decisions.tick()));
-        let drain_deadline = self.drain.deadline().filter(|_| !self.in_flight.is_empty());
+        let drain_deadline = self.drain.deadline().filter(|_| !self.in_flight.all_completed());
         self.decisions
             .next_cycle()
             .min(request_deadline.unwrap_or(Time::MAX))
@@ -294,7 +295,7 @@
 
     /// Returns whether every message has its final answer and every request its response.
     pub fn is_done(&self) -> bool {
-        self.in_flight.is_empty() && self.clients.all_answered()
+        self.in_flight.all_completed() && self.clients.all_answered()
     }
 }
 
--- a/crates/edge/src/core/admission.rs
+++ b/crates/edge/src/core/admission.rs
@@ -67,7 +67,7 @@
     pub(crate) destination: u32,
 }
 
-/// The decision on a partition.
+/// The admission decision on a partition, which applies to all its records.
 #[derive(Debug)]
 pub(crate) enum AdmissionDecision {
     /// It can never be accepted.
@@ -78,7 +78,7 @@
     Admitted { resolved: ResolvedPartition, records: Vec<AdmittedRecord> },
 }
 
-/// A partition with the decision on it.
+/// A partition of a Produce request with the decision on it.
 #[derive(Debug)]
 pub(crate) struct CheckedPartition {
     pub(crate) topic: String,
--- a/crates/edge/src/core/attempts.rs
+++ b/crates/edge/src/core/attempts.rs
@@ -37,7 +37,7 @@
         let now = self.clock.now();
         let (in_flight, endpoints, retry_after) = (&self.in_flight, &self.endpoints, &self.retry_after);
         let may_write = |write: PendingWrite| {
-            in_flight.open(write.message).is_some_and(|open| open.message.deadline > now)
+            in_flight.get_open(write.message).is_some_and(|open| open.message.deadline > now)
                 && endpoints.is_ready(write.endpoint)
                 && !retry_after.is_blocked(write.endpoint, now)
         };
@@ -178,7 +178,7 @@
     /// connection is due, or because the drain deadline has passed. It is rejected if it is harmless to
     /// submit it again, and failed otherwise. To the library it is reported as cancelled by the client.
     pub(super) fn force_complete(&mut self, message: u32) {
-        let Some(in_flight) = self.in_flight.open(message) else { return };
+        let Some(in_flight) = self.in_flight.get_open(message) else { return };
         let repeat_is_harmless = matches!(
             self.idempotency[usize::from(in_flight.message.class)],
             Idempotency::Idempotent | Idempotency::Keyed { per_zone: false, .. }
@@ -194,7 +194,7 @@
 
     /// Gives a message its final answer: counts and reports it, and sends the responses that it completes.
     fn complete(&mut self, message: u32, answer: FinalAnswer) {
-        let Some(in_flight) = self.in_flight.open(message) else { return };
+        let Some(in_flight) = self.in_flight.get_open(message) else { return };
         let Message { position, class, destination, accepted_at, .. } = in_flight.message;
         let elapsed = self.clock.now() - accepted_at;
         let not_executed = !self.is_possibly_executed(message, in_flight);
--- a/crates/edge/src/core/clients.rs
+++ b/crates/edge/src/core/clients.rs
@@ -52,11 +52,11 @@
     pub(crate) changed: bool,
 }
 
-/// All client connections.
+/// All client connections, with an index by the earliest deadline of their requests.
 #[derive(Debug, Default)]
 pub(crate) struct ClientConnections {
     connections: BTreeMap<ClientId, ClientConnection>,
-    /// The connections with a deadline, by the earliest deadline of their requests.
+    /// The connections with a deadline, by that deadline.
     deadlines: TimeIndex<ClientId>,
     /// How many records have been served on all connections. Served records are numbered by it, and the
     /// number is the offset that clients are told.
--- a/crates/edge/src/core/clients/connection.rs
+++ b/crates/edge/src/core/clients/connection.rs
@@ -8,7 +8,7 @@
 use linnetcart_kafka::Frames;
 use std::collections::VecDeque;
 
-/// A client connection.
+/// A client connection with its received bytes, its requests without a response and its read state.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     pub(super) frames: Frames,
--- a/crates/edge/src/core/deadline.rs
+++ b/crates/edge/src/core/deadline.rs
@@ -33,7 +33,7 @@
     pub(crate) created_at: Option<Time>,
 }
 
-/// The deadline of a message.
+/// The deadline computed for a message, and whether its creation time was usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MessageDeadline {
     /// The deadline, by the courier's monotonic clock.
--- a/crates/edge/src/core/delivery.rs
+++ b/crates/edge/src/core/delivery.rs
@@ -41,10 +41,11 @@
 const VERSION_REQUEST: i32 = 0;
 /// The version of ApiVersions that the version request uses, the oldest, so that any endpoint can parse it.
 const VERSION_REQUEST_VERSION: i16 = 0;
-/// The outcome of an attempt that was not sent for another reason than that all slots are occupied.
+/// The outcome of an attempt that was not sent, for a reason other than a lack of slots.
 const NOT_SENT: AttemptOutcome = AttemptOutcome::NotSent { no_capacity: false };
 
-/// A message to be sent to an endpoint.
+/// An attempt's message as delivery needs it: the record, its class and destination, and the times by which
+/// it must be written and answered.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingMessage {
     pub(crate) attempt: AttemptId,
@@ -91,16 +92,17 @@
     pub(crate) error: ProtocolError,
 }
 
-/// Limits and timeouts of delivery.
+/// The settings of delivery: limits, timeouts, and the names in requests.
 #[derive(Clone, Debug)]
 pub(crate) struct DeliverySettings {
     /// The number of slots: how many calls that are not abandoned may be in flight at once.
     pub(crate) max_calls: usize,
     /// How many calls without a response a connection may carry.
     pub(crate) calls_per_connection: usize,
-    /// After which time without an awaited call a connection is closed, in nanoseconds.
+    /// How long a connection that carries no awaited call stays open, in nanoseconds.
     pub(crate) idle_timeout: Time,
-    /// Within which time a connection must be established and the version request answered, in nanoseconds.
+    /// How long it may take to establish a connection and to get the version request answered, in
+    /// nanoseconds.
     pub(crate) connect_timeout: Time,
     pub(crate) max_frame_bytes: usize,
     /// The client id in requests of this courier.
@@ -128,7 +130,7 @@
     }
 }
 
-/// Attempts, calls and connections to endpoints.
+/// All calls and connections to endpoints, and the results that the core has not taken yet.
 #[derive(Debug)]
 pub(crate) struct Delivery {
     settings: DeliverySettings,
@@ -198,23 +200,22 @@
         attempt.into_iter().chain(connection).min()
     }
 
-    /// Returns the attempts that finished since the last call.
+    /// Removes and returns the attempts that have finished.
     pub(crate) fn take_finished(&mut self) -> Vec<FinishedAttempt> {
         std::mem::take(&mut self.finished)
     }
 
-    /// Returns the rejections with a Retry-After that abandoned calls got since the last call of this
-    /// function.
+    /// Removes and returns the rejections with a Retry-After that arrived for abandoned calls.
     pub(crate) fn take_late_rejections(&mut self) -> Vec<FinishedAttempt> {
         std::mem::take(&mut self.late_rejections)
     }
 
-    /// Returns the protocol violations since the last call.
+    /// Removes and returns the protocol violations of endpoints.
     pub(crate) fn take_violations(&mut self) -> Vec<EndpointViolation> {
         std::mem::take(&mut self.violations)
     }
 
-    /// Returns the instructions for the shell since the last call.
+    /// Removes and returns the instructions for the shell.
     pub(crate) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/crates/edge/src/core/delivery/calls.rs
+++ b/crates/edge/src/core/delivery/calls.rs
@@ -6,7 +6,7 @@
 use linnetcart::{AttemptOutcome, Time};
 use std::collections::BTreeMap;
 
-/// An attempt to deliver a message.
+/// Identifies an attempt to deliver a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) message: u32,
@@ -14,7 +14,7 @@
     pub(crate) number: u16,
 }
 
-/// One Produce request to an endpoint.
+/// One Produce request to an endpoint, from its opening until its response or the end of its connection.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) endpoint: u32,
@@ -78,7 +78,7 @@
     pub(super) max_messages_per_call: usize,
 }
 
-/// All calls with their attempts.
+/// All calls without a response, with indexes by attempt and by deadline.
 #[derive(Debug, Default)]
 pub(super) struct CallTable {
     calls: BTreeMap<CallId, Call>,
@@ -109,7 +109,7 @@
     }
 
     /// Returns the call that carries an attempt, or `None` if the attempt has its outcome.
-    pub(super) fn of_attempt(&self, attempt: AttemptId) -> Option<CallId> {
+    pub(super) fn call_of_attempt(&self, attempt: AttemptId) -> Option<CallId> {
         self.by_attempt.get(&attempt).copied()
     }
 
@@ -128,7 +128,7 @@
 
     /// Adds a message to this cycle's call to the endpoint if that has capacity left, otherwise to a new
     /// call, which needs a free slot.
-    pub(super) fn add(
+    pub(super) fn add_message(
         &mut self,
         endpoint: u32,
         message: OutgoingMessage,
@@ -140,7 +140,7 @@
         let call_id = match self.joinable_call(endpoint, bounds.max_messages_per_call) {
             Some(id) => id,
             None if self.occupied_slots >= bounds.max_calls => return Err(NoSlot),
-            None => self.open(ids.next_id(), endpoint, attempt, now),
+            None => self.open_call(ids.next_id(), endpoint, attempt, now),
         };
         self.by_attempt.insert(attempt, call_id);
         self.deadlines.insert(message.write_deadline(), attempt);
@@ -156,7 +156,7 @@
         (call.messages.len() < max_messages).then_some(id)
     }
 
-    fn open(&mut self, id: CallId, endpoint: u32, first: AttemptId, now: Time) -> CallId {
+    fn open_call(&mut self, id: CallId, endpoint: u32, first: AttemptId, now: Time) -> CallId {
         let call = Call {
             endpoint,
             connection: None,
@@ -213,7 +213,7 @@
     pub(super) fn next_expired(&mut self, now: Time) -> Option<ExpiredAttempt> {
         while let Some(due) = self.deadlines.first_due(now) {
             let attempt = due.id;
-            let call_id = self.of_attempt(attempt);
+            let call_id = self.call_of_attempt(attempt);
             let Some((call_id, call)) = call_id.and_then(|id| Some((id, self.calls.get(&id)?))) else {
                 self.deadlines.remove(due.at, attempt);
                 continue;
--- a/crates/edge/src/core/delivery/connections.rs
+++ b/crates/edge/src/core/delivery/connections.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The progress of a connection.
+/// How far a connection has been set up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     /// It is being established, or the endpoint has not answered the version request yet. Calls wait.
@@ -17,7 +17,7 @@
     Ready { produce_version: i16 },
 }
 
-/// A connection to an endpoint.
+/// A connection to an endpoint, with the calls that it carries or that wait for it.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) endpoint: u32,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The connections to one endpoint.
+/// The connections to one endpoint, with indexes of the idle ones and those with abandoned calls.
 #[derive(Debug, Default)]
 struct EndpointConnections {
     all: BTreeSet<UpstreamId>,
@@ -84,7 +84,7 @@
     pub(crate) abandoned: usize,
 }
 
-/// A connection to be established.
+/// A connection that is requested from the shell.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NewConnection {
     pub(super) id: UpstreamId,
@@ -95,7 +95,7 @@
     pub(super) timeout_at: Time,
 }
 
-/// All connections to endpoints.
+/// All connections to endpoints, with indexes by endpoint and by timeout.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionPool {
     connections: BTreeMap<UpstreamId, Connection>,
@@ -141,7 +141,7 @@
     /// reach the idle timeout. Where a connection may carry several calls, the most recently used ready one
     /// is next, and then one that is being established. A connection with abandoned calls, or to another
     /// address than the endpoint's present one, is never used.
-    pub(super) fn find(
+    pub(super) fn find_usable(
         &self,
         endpoint: u32,
         address: SocketAddr,
--- a/crates/edge/src/core/delivery/dispatch.rs
+++ b/crates/edge/src/core/delivery/dispatch.rs
@@ -16,13 +16,13 @@
     pub(crate) fn send(&mut self, endpoint: u32, message: OutgoingMessage, max_messages_per_call: usize) {
         let attempt = message.attempt;
         let bounds = CallBounds { max_calls: self.settings.max_calls, max_messages_per_call };
-        let added = self.calls.add(endpoint, message, bounds, &mut self.ids, self.now);
+        let added = self.calls.add_message(endpoint, message, bounds, &mut self.ids, self.now);
         if added.is_err() {
             self.finish_unsent(attempt, endpoint, AttemptOutcome::NotSent { no_capacity: true });
         }
     }
 
-    /// Finishes an attempt as not sent, for another reason than that all slots are occupied.
+    /// Finishes an attempt as not sent, for a reason other than a lack of slots.
     pub(crate) fn reject_unsent(&mut self, attempt: AttemptId, endpoint: u32) {
         self.finish_unsent(attempt, endpoint, NOT_SENT);
     }
@@ -66,7 +66,7 @@
     /// been idle for too long to be reused are closed first.
     fn acquire_connection(&mut self, endpoint: u32, address: SocketAddr) -> UpstreamId {
         self.close_unreliable_idle(endpoint);
-        let found = self.connections.find(endpoint, address, self.settings.calls_per_connection);
+        let found = self.connections.find_usable(endpoint, address, self.settings.calls_per_connection);
         if let Some(id) = found {
             return id;
         }
--- a/crates/edge/src/core/delivery/outcomes.rs
+++ b/crates/edge/src/core/delivery/outcomes.rs
@@ -80,7 +80,7 @@
 
     /// Cancels an attempt. One that was not written ends as not sent, because it cannot have been executed.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
-        let Some(call_id) = self.calls.of_attempt(attempt) else { return };
+        let Some(call_id) = self.calls.call_of_attempt(attempt) else { return };
         let written = self.calls.get(call_id).is_some_and(Call::is_written);
         let outcome = if written { AttemptOutcome::Cancelled } else { NOT_SENT };
         self.give_up_attempt(call_id, attempt, outcome);
--- a/crates/edge/src/core/delivery/upstream.rs
+++ b/crates/edge/src/core/delivery/upstream.rs
@@ -32,8 +32,8 @@
     }
 
     /// Removes a connection that was closed or lost, and finishes its calls. The operating system had
-    /// accepted the first `accepted_bytes` of its byte stream: a written call with `stream_offset <
-    /// accepted_bytes` may have been sent, all others were not.
+    /// accepted the first `accepted_bytes` of its byte stream, so written calls with a stream offset below
+    /// that may have been sent, and all others were not.
     fn remove_connection(&mut self, id: UpstreamId, accepted_bytes: u64, outcomes: CallOutcomes) {
         let Some(connection) = self.connections.remove(id) else { return };
         for call_id in connection.written_calls.into_values() {
--- a/crates/edge/src/core/in_flight.rs
+++ b/crates/edge/src/core/in_flight.rs
@@ -8,7 +8,7 @@
 use linnetcart_kafka::Record;
 use std::collections::BTreeMap;
 
-/// An accepted message.
+/// An accepted message: the record to deliver, where it came from and where it goes.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub(crate) position: RecordPosition,
@@ -66,7 +66,7 @@
     pub(crate) bytes: usize,
 }
 
-/// The in-flight table.
+/// The in-flight table: messages by number, and their usage of the limits.
 #[derive(Debug)]
 pub(crate) struct InFlightTable {
     messages: BTreeMap<u32, InFlightMessage>,
@@ -88,8 +88,8 @@
         self.usage
     }
 
-    /// Returns whether every message has its final answer.
-    pub(crate) fn is_empty(&self) -> bool {
+    /// Returns whether no message needs a final answer. Completed messages may still have attempts in flight.
+    pub(crate) fn all_completed(&self) -> bool {
         self.usage.messages == 0
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Returns a message that has no final answer yet.
-    pub(crate) fn open(&self, message: u32) -> Option<&InFlightMessage> {
+    pub(crate) fn get_open(&self, message: u32) -> Option<&InFlightMessage> {
         self.messages.get(&message).filter(|message| !message.completed)
     }
 
--- a/crates/edge/src/core/in_flight/tests.rs
+++ b/crates/edge/src/core/in_flight/tests.rs
@@ -21,7 +21,7 @@
     let first = table.begin_attempt(number).expect("it is in the table");
     assert_eq!((first.number, first.hedge), (0, false));
     table.complete(number);
-    assert!(table.is_empty() && table.open(number).is_none());
+    assert!(table.all_completed() && table.get_open(number).is_none());
     assert!(table.get(number).is_some());
     assert_eq!(table.finish_attempt(number, AttemptOutcome::Cancelled), MessageState::Completed);
     assert!(table.get(number).is_none());
