--- a/crates/conformance/src/index.rs
+++ b/crates/conformance/src/index.rs
@@ -4,7 +4,7 @@
 use linnetcart::Time;
 use std::collections::BTreeMap;
 
-/// Submissions and arrivals by message, each in the order of their times.
+/// Submissions and arrivals grouped by message number, each group sorted by time.
 pub(crate) struct RecordIndex<'a> {
     submissions: BTreeMap<u64, Vec<&'a Submission>>,
     arrivals: BTreeMap<u64, Vec<&'a Arrival>>,
@@ -34,7 +34,7 @@
         self.submissions.iter().map(|(&message, submissions)| (message, submissions.as_slice()))
     }
 
-    /// Returns the arrivals of a message at endpoints.
+    /// Returns the arrivals of a message at any endpoint, sorted by time; empty if it never arrived.
     pub(crate) fn arrivals_of(&self, message: u64) -> &[&'a Arrival] {
         self.arrivals.get(&message).map_or(&[], Vec::as_slice)
     }
--- a/crates/conformance/src/invariants.rs
+++ b/crates/conformance/src/invariants.rs
@@ -1,20 +1,21 @@
-//! The parameters of the checks: message classes and the tolerances of the rules.
+//! The parameters of the checks: message classes and the tolerances of the rules. All times are in
+//! nanoseconds.
 
 use linnetcart::{Idempotency, Time};
 
-/// A message class as the checks see it. The library's class is deliberately not used: it has no name, and
-/// the weight of a late message is computed here independently of it.
+/// A message class as the checks see it. The decision library's class is deliberately not used: it has no
+/// name, and the weight of a late message must be computed independently of it.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// The name of the class.
     pub name: String,
-    /// A message served within this time has its full weight.
+    /// A message served within this time of its first submission has its full weight.
     pub latency_objective: Time,
-    /// A message served after this time has no weight.
+    /// A message served later than this after its first submission has no weight.
     pub deadline: Time,
-    /// Weight of a message served within the latency objective.
+    /// The weight of a message served within the latency objective.
     pub priority_weight: f64,
-    /// The fraction of the weight that remains at the deadline.
+    /// The fraction of `priority_weight` that remains at the deadline, from 0 to 1.
     pub late_weight: f64,
     /// Whether a message may be executed more than once, and under which conditions.
     pub idempotency: Idempotency,
@@ -23,8 +24,9 @@
 }
 
 impl Class {
-    /// Returns the weight of a message served at this age, counted from its first submission. The weight
-    /// falls linearly from the latency objective to the deadline and is zero after it.
+    /// Returns the weight of a message served at this age, counted from its first submission. The weight is
+    /// `priority_weight` up to the latency objective, falls linearly to `priority_weight * late_weight` at
+    /// the deadline, and is zero after it.
     pub fn weight_at(&self, age: Time) -> f64 {
         if age > self.deadline {
             return 0.0;
@@ -41,22 +43,23 @@
 pub struct Invariants {
     /// The classes, indexed by class number.
     pub classes: Vec<Class>,
-    /// How long after the deadline a final answer may still be sent.
+    /// How long after a message's deadline its final answer may still be sent.
     pub answer_grace: Time,
     /// How long a courier may still send new work to an endpoint after it was notified that the endpoint is
     /// draining or gone.
     pub drain_grace: Time,
-    /// Cooldown of an ordering key after an attempt that may still be running.
+    /// How long the next message of an ordering key must wait after an attempt that may still be running.
     pub key_cooldown: Time,
-    /// A destination in slow start is overloaded by more than this multiple of its current capacity within
-    /// one `overload_window`.
+    /// A destination in slow start is overloaded if it receives more than this multiple of its current
+    /// capacity within one `overload_window`.
     pub overload_ratio: f64,
-    /// Length of the windows in which calls to a destination in slow start are counted.
+    /// Length of the sliding window over which calls to a destination in slow start are counted.
     pub overload_window: Time,
-    /// Tolerance added to every limit for clocks and travel times: sockets and event loops take time that
-    /// virtual time does not.
+    /// Tolerance added to every time limit for clock differences and travel times. It is larger for runs on
+    /// sockets, where sockets and event loops take time, than in virtual time.
     pub timing_tolerance: Time,
-    /// Additional one-way delay where single travel times are not recorded.
+    /// The most by which injected link faults delay a message in one direction. Added where the travel time
+    /// of the single message is not recorded.
     pub extra_link_delay: Time,
 }
 
--- a/crates/conformance/src/lib.rs
+++ b/crates/conformance/src/lib.rs
@@ -1,9 +1,9 @@
 //! The six delivery rules as invariants, checked against records of what went over the wire: what clients
-//! submitted and were answered, what endpoints received and answered, and what couriers were notified of the
-//! endpoint list. Nothing that a courier reports about itself is used. The same checks serve runs on sockets
-//! and in virtual time.
+//! submitted and how they were answered, what endpoints received and answered, and which endpoint list
+//! changes reached the couriers. Nothing that a courier reports about itself is used. The same checks serve
+//! runs on sockets and in virtual time.
 //!
-//! Each check counts the cases to which its rule applied; a rule without cases was not tested.
+//! Each check counts the cases to which its rule applied. A rule with no cases was not exercised by the run.
 //!
 //! The checker shares value types with the decision library ([`Time`], [`Idempotency`]) but no code that
 //! computes anything. [`Class`] and its weight are deliberately implemented a second time, so that a fault in
@@ -28,7 +28,7 @@
 
 use index::RecordIndex;
 
-/// Checks the six rules and summarizes each class.
+/// Checks the six rules and computes the summary of each class and of the whole service.
 pub fn check(records: &Records, invariants: &Invariants) -> Report {
     let index = RecordIndex::new(records);
     let service = summary::summarize(records, invariants, &index);
--- a/crates/conformance/src/records.rs
+++ b/crates/conformance/src/records.rs
@@ -1,6 +1,6 @@
 //! What is recorded of a run: submissions, arrivals, notifications, and the faults that excuse a delay.
 //!
-//! All times are in nanoseconds of the clock of the run.
+//! All times are in nanoseconds on the clock of the run.
 
 mod deliveries;
 mod faults;
@@ -13,7 +13,7 @@
 use linnetcart::Time;
 use std::collections::BTreeMap;
 
-/// One incarnation of a courier. Each restart begins the next incarnation.
+/// One incarnation of a courier: the time from one start of its process to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CourierIncarnation {
     pub(crate) courier: u32,
@@ -27,39 +27,40 @@
     pub submissions: Vec<Submission>,
     /// Messages that reached endpoints.
     pub arrivals: Vec<Arrival>,
-    /// Changes of endpoint states of which couriers were notified.
+    /// Endpoint state changes that couriers were notified of.
     pub notifications: Vec<EndpointNotification>,
     /// Outages of destinations.
     pub outages: Vec<Outage>,
-    /// Times in which couriers were not running. What was due meanwhile is due when they run again.
+    /// Periods in which couriers were suspended. What fell due in such a period is due at its end.
     pub stalls: Vec<Stall>,
-    /// Times in which couriers were cut off.
+    /// Periods in which couriers were cut off from clients or endpoints.
     pub partitions: Vec<Partition>,
-    /// The destination of each endpoint.
+    /// The destination of each endpoint, by endpoint number.
     pub endpoints: BTreeMap<u32, u32>,
-    /// Failed connections, or `None` if the network does not record them. In that case every courier that had
-    /// a message in flight for a destination whose connections failed counts as having known.
+    /// Failed connections, or `None` if the network does not record them. Without them, every courier with a
+    /// message in flight for a destination that refused connections counts as having known of the outage.
     pub failed_connects: Option<Vec<FailedConnect>>,
-    /// Answers to requests that had been answered already or were never made.
+    /// Number of answers to requests that were already answered or never made.
     pub stray_answers: u64,
 }
 
 impl Records {
-    /// Returns when a courier received, at the latest, what an endpoint sent at this time.
+    /// Returns the latest time at which a courier received what an endpoint sent at `sent_at`: unchanged, or
+    /// the end of the partition that delayed it.
     pub(crate) fn received_from_endpoint(&self, courier: u32, sent_at: Time) -> Time {
         let affects = |partition: &Partition| partition.endpoints && partition.courier == courier;
         self.after_partitions(sent_at, affects)
     }
 
-    /// Returns when a client received, at the latest, what a courier sent at this time. The same holds in the
-    /// other direction.
+    /// Returns the latest time at which a client received what a courier sent at `sent_at`, or the courier
+    /// what a client sent: unchanged, or the end of the partition that delayed it.
     pub(crate) fn received_between_client_and_courier(&self, courier: u32, sent_at: Time) -> Time {
         let affects = |partition: &Partition| partition.clients && partition.courier == courier;
         self.after_partitions(sent_at, affects)
     }
 
-    /// Returns the end of the partitions in force at this time. A partition that begins before the previous
-    /// one is over extends it.
+    /// Returns the end of the partition in force at `at`, or `at` if there is none. Overlapping partitions
+    /// count as one.
     fn after_partitions(&self, at: Time, affects: impl Fn(&Partition) -> bool) -> Time {
         let mut reached = at;
         loop {
--- a/crates/conformance/src/records/deliveries.rs
+++ b/crates/conformance/src/records/deliveries.rs
@@ -31,9 +31,9 @@
     pub destination: u32,
     /// The ordering key, if the message has one.
     pub key: Option<u64>,
-    /// When the message was submitted.
+    /// When the client sent the message.
     pub at: Time,
-    /// The deadline of the message.
+    /// The deadline of the message, on the same clock as `at`.
     pub deadline: Time,
     /// The final answers, in the order in which they arrived.
     pub answers: Vec<ClientAnswer>,
@@ -50,8 +50,8 @@
         CourierIncarnation { courier: self.courier, incarnation: self.incarnation }
     }
 
-    /// Returns when the courier had completed the message at the latest: at its first answer or at the
-    /// deadline.
+    /// Returns the latest time at which the courier completed the message: its first answer or, without one,
+    /// the deadline.
     pub(crate) fn completed_at(&self) -> Time {
         self.answers.first().map_or(self.deadline, |answer| answer.at)
     }
@@ -73,7 +73,7 @@
     Served,
     /// The message was not accepted; submitting it again is harmless.
     Rejected,
-    /// The courier gave the message up.
+    /// The courier gave up the message; it may or may not have been executed.
     Failed,
 }
 
@@ -111,7 +111,7 @@
     pub endpoint: u32,
     /// The zone of the endpoint.
     pub zone: u8,
-    /// Whether the endpoint is an independent route with a limit of its own.
+    /// Whether the endpoint is an independent route of its destination, with a limit of its own.
     pub independent_route: bool,
     /// When the message arrived.
     pub at: Time,
@@ -122,7 +122,7 @@
     pub verdict: EndpointVerdict,
     /// When the endpoint sent its answer, or `None` if it sent none.
     pub answered: Option<Time>,
-    /// Whether the message took effect.
+    /// Whether the endpoint executed the message; false for a duplicate that it recognized.
     pub effect: bool,
 }
 
@@ -143,14 +143,14 @@
     }
 }
 
-/// A state of an endpoint of which a courier was notified.
+/// A notification of a courier about the state of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointNotification {
     /// The courier that was notified.
     pub courier: u32,
     /// The incarnation of the courier.
     pub incarnation: u32,
-    /// When the courier had received the notification at the latest.
+    /// The latest time at which the courier received the notification.
     pub at: Time,
     /// The endpoint.
     pub endpoint: u32,
--- a/crates/conformance/src/records/faults.rs
+++ b/crates/conformance/src/records/faults.rs
@@ -3,7 +3,7 @@
 use super::CourierIncarnation;
 use linnetcart::Time;
 
-/// An outage of a limit, followed by its recovery ramp.
+/// An outage of a destination or of one of its routes, followed by a recovery ramp (slow start).
 #[derive(Clone, Debug)]
 pub struct Outage {
     /// The destination.
@@ -17,16 +17,16 @@
     pub until: Time,
     /// Capacity after the recovery ramp, in calls per second.
     pub capacity: f64,
-    /// The fraction of the capacity that is available right after the outage.
+    /// The fraction of `capacity` that is available right after the outage.
     pub slow_start_ratio: f64,
-    /// Duration of the recovery ramp.
+    /// Duration of the recovery ramp, in which the available capacity grows linearly.
     pub slow_start_duration: Time,
-    /// Whether connections were refused. Whose connections were refused may be unknown; see
+    /// Whether connections were refused during the outage. Which couriers saw it may be unknown; see
     /// [`Records::failed_connects`](crate::Records::failed_connects).
     pub refused_connections: bool,
 }
 
-/// A time in which a courier was not running, as after SIGSTOP.
+/// A period in which a courier was suspended, as by SIGSTOP.
 #[derive(Clone, Debug)]
 pub struct Stall {
     /// The courier.
@@ -40,13 +40,14 @@
 }
 
 impl Stall {
-    /// The incarnation of the courier that was not running.
+    /// The incarnation of the courier that was suspended.
     pub(crate) fn stalled(&self) -> CourierIncarnation {
         CourierIncarnation { courier: self.courier, incarnation: self.incarnation }
     }
 }
 
-/// A time in which nothing reached a courier from one side. What was sent meanwhile arrived afterwards.
+/// A period in which nothing reached a courier from its clients, its endpoints or both. What was sent
+/// meanwhile arrived at the end of the period.
 #[derive(Clone, Copy, Debug)]
 pub struct Partition {
     /// The courier that was cut off.
@@ -57,7 +58,7 @@
     pub until: Time,
     /// Whether the courier was cut off from its clients, in both directions.
     pub clients: bool,
-    /// Whether the courier was cut off from endpoints.
+    /// Whether the courier received nothing from endpoints.
     pub endpoints: bool,
 }
 
@@ -85,7 +86,7 @@
 
 impl FailedConnect {
     /// The incarnation of the courier that saw the connection fail.
-    pub(crate) fn witness(&self) -> CourierIncarnation {
+    pub(crate) fn observer(&self) -> CourierIncarnation {
         CourierIncarnation { courier: self.courier, incarnation: self.incarnation }
     }
 }
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// How many violations of a rule are described in words; further ones are only counted.
+/// How many violations of a rule get a description; further ones are only counted.
 const MAX_EXAMPLES: usize = 5;
 
 /// The outcome of the check of one rule.
@@ -10,7 +10,7 @@
 pub struct InvariantResult {
     /// The number and title of the rule.
     pub rule: &'static str,
-    /// How many cases the rule applied to. A rule without cases was not tested.
+    /// How many cases the rule applied to. With none, the run did not exercise the rule.
     pub checked: u64,
     /// How many of these cases violated the rule.
     #[serde(rename = "broken")]
@@ -60,7 +60,7 @@
 pub struct ClassSummary {
     /// The name of the class.
     pub class: String,
-    /// Messages, not counting retries by clients.
+    /// Distinct messages; a resubmission by the client is not counted again.
     pub messages: u64,
     /// Messages served within the latency objective, counted from the first submission.
     #[serde(rename = "in_aim")]
@@ -72,16 +72,16 @@
     pub rejected: u64,
     /// Messages whose last answer was a failure.
     pub failed: u64,
-    /// Idempotent messages without an answer: the client could have submitted them again, and their time ran
-    /// out.
+    /// Idempotent messages that were not answered before their deadline, though their client was free to
+    /// submit them again.
     pub lost: u64,
     /// Other messages without an answer: the client must not submit them again, and whether they were
     /// executed is unknown.
     pub unknown: u64,
-    /// Submissions, including retries by clients.
+    /// Submissions, including resubmissions by clients.
     #[serde(rename = "tries")]
     pub submissions: u64,
-    /// Arrivals at endpoints; a message that arrived several times counts each time.
+    /// Arrivals at endpoints; each arrival of the same message counts.
     pub attempts: u64,
     /// Sum of the priority weights of all messages.
     #[serde(rename = "asked")]
@@ -100,7 +100,8 @@
     pub classes: Vec<ClassSummary>,
     /// Delivered weight divided by requested weight, over all classes.
     pub service: f64,
-    /// The lowest such ratio over the messages first submitted within one ten-second interval.
+    /// The lowest value of this ratio in any interval of 10 s, at most 1. A message belongs to the interval of
+    /// its first submission.
     pub worst_stretch: f64,
     /// Calls that endpoints rejected.
     #[serde(rename = "calls_refused")]
--- a/crates/conformance/src/rules.rs
+++ b/crates/conformance/src/rules.rs
@@ -1,6 +1,6 @@
 //! The checks of the six rules, one module each. Every check counts the cases to which its rule applied.
 //!
-//! The title of a rule is recorded in reports, journals and found scenarios, so it must not change.
+//! The title of a rule is stored in reports, journals and found scenarios, so it must not change.
 
 pub(crate) mod draining;
 pub(crate) mod final_answer;
--- a/crates/conformance/src/rules/draining.rs
+++ b/crates/conformance/src/rules/draining.rs
@@ -9,27 +9,28 @@
 
 const RULE: &str = "3 nothing new to a draining or gone endpoint";
 
-/// A courier and the endpoint that it was notified of.
+/// An endpoint and a courier that was notified of its state.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Subject {
+struct NotifiedEndpoint {
     recipient: CourierIncarnation,
     endpoint: u32,
 }
 
-/// A state of an endpoint, and since when a courier knew it. Ordered by time.
+/// A state of an endpoint and the time since when a courier knew it. Ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct KnownState {
     since: Time,
     ready: bool,
 }
 
-/// Checks all arrivals at endpoints that the sending courier knew to be draining or gone.
+/// Checks each arrival at an endpoint that the sending courier knew to be draining or gone: the message must
+/// have left within `drain_grace` of the notification.
 pub(crate) fn check(records: &Records, invariants: &Invariants) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
-    let known_states = states_by_subject(records);
+    let known_states = known_states(records);
     for arrival in &records.arrivals {
-        let subject = Subject { recipient: arrival.sender(), endpoint: arrival.endpoint };
-        let Some(states) = known_states.get(&subject) else { continue };
+        let notified = NotifiedEndpoint { recipient: arrival.sender(), endpoint: arrival.endpoint };
+        let Some(states) = known_states.get(&notified) else { continue };
         let sent = arrival.sent();
         let Some(state) = states.iter().rev().find(|state| state.since <= sent) else { continue };
         if state.ready {
@@ -44,21 +45,23 @@
             )
         });
     }
-    // An endpoint of which a courier was notified is a case even if the courier sent nothing more to it.
+    // A notification is a case too if the courier sent nothing to the endpoint after it.
     let not_ready = |states: &&Vec<KnownState>| states.iter().any(|state| !state.ready);
     result.checked += known_states.values().filter(not_ready).count() as u64;
     result
 }
 
-fn states_by_subject(records: &Records) -> BTreeMap<Subject, Vec<KnownState>> {
-    let mut by_subject: BTreeMap<Subject, Vec<KnownState>> = BTreeMap::new();
+/// Returns which states of each endpoint each courier was notified of, sorted by time.
+fn known_states(records: &Records) -> BTreeMap<NotifiedEndpoint, Vec<KnownState>> {
+    let mut by_endpoint: BTreeMap<NotifiedEndpoint, Vec<KnownState>> = BTreeMap::new();
     for notification in &records.notifications {
-        let subject = Subject { recipient: notification.recipient(), endpoint: notification.endpoint };
+        let notified =
+            NotifiedEndpoint { recipient: notification.recipient(), endpoint: notification.endpoint };
         let state = KnownState { since: notification.at, ready: notification.ready };
-        by_subject.entry(subject).or_default().push(state);
+        by_endpoint.entry(notified).or_default().push(state);
     }
-    for states in by_subject.values_mut() {
+    for states in by_endpoint.values_mut() {
         states.sort_unstable();
     }
-    by_subject
+    by_endpoint
 }
--- a/crates/conformance/src/rules/final_answer.rs
+++ b/crates/conformance/src/rules/final_answer.rs
@@ -9,10 +9,10 @@
 
 const RULE: &str = "1 one final answer in time, nothing sent after";
 
-/// One-way trips until the first request on a new connection arrives: SYN, SYN-ACK, and the request.
+/// One-way trips until the first request on a new TCP connection arrives: SYN, SYN-ACK, then the request.
 const CONNECTION_TRIPS: u64 = 3;
 
-/// Checks the answers to all submissions, and that nothing was sent after them.
+/// Checks that each submission got one answer in time, and that its message was not sent after that answer.
 pub(crate) fn check(records: &Records, invariants: &Invariants, index: &RecordIndex<'_>) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     for submission in &records.submissions {
@@ -26,12 +26,13 @@
     result
 }
 
-/// Returns the latest time at which the client may receive the final answer.
+/// Returns the latest time at which the client may receive the final answer, in nanoseconds. Without faults:
+/// `max(deadline, submitted + 3 * travelled) + travelled + answer_grace + timing_tolerance`.
 fn answer_deadline(records: &Records, invariants: &Invariants, submission: &Submission) -> Time {
     let courier = submission.courier;
     let travelled = submission.answer_travelled;
-    // A message that arrives after its deadline is answered on arrival: after a partition, or after the trips
-    // of a new connection.
+    // A message that arrives after its deadline, because of a partition or of the time taken to connect, is
+    // answered on arrival.
     let arrived = records.received_between_client_and_courier(courier, submission.at);
     let due = submission.deadline.max(arrived + CONNECTION_TRIPS * travelled);
     let due = after_stall(records, submission, due);
@@ -40,8 +41,7 @@
     received + invariants.answer_grace + invariants.timing_tolerance + travelled
 }
 
-/// Returns when the courier can send what is due at this time: if it is stalled then, at the end of the
-/// stall.
+/// Returns when the courier can send what is due at `due`: the end of the stall if it is stalled then.
 fn after_stall(records: &Records, submission: &Submission, due: Time) -> Time {
     let recipient = submission.recipient();
     let mut stalls = records.stalls.iter();
@@ -74,7 +74,7 @@
     submission: &Submission,
 ) {
     let Some(answer) = submission.answers.first() else { return };
-    // A retry by the client has its own answers and is checked on its own.
+    // A resubmission by the client has answers of its own and is checked separately.
     let next_submission = index.next_submission_at(submission);
     for arrival in index.arrivals_of(submission.message) {
         let sent = arrival.sent();
--- a/crates/conformance/src/rules/key_order.rs
+++ b/crates/conformance/src/rules/key_order.rs
@@ -1,5 +1,5 @@
-//! Rule 5: messages with the same ordering key are sent in order, with the cooldown of the key after an
-//! attempt that may still be running.
+//! Rule 5: messages with the same ordering key are sent in order, and the key cools down after an attempt
+//! that may still be running.
 
 use super::millis;
 use crate::index::RecordIndex;
@@ -26,7 +26,7 @@
     courier: CourierIncarnation,
 }
 
-/// Finds the attempts that belong to a submission.
+/// Assigns attempts to submissions.
 struct AttemptLookup<'a> {
     invariants: &'a Invariants,
     index: &'a RecordIndex<'a>,
@@ -71,9 +71,9 @@
 }
 
 impl<'a> AttemptLookup<'a> {
-    /// Returns the attempts of a submission, in the order of their arrival. After a connection broke, a
-    /// courier may have received the message over two connections; an attempt that could belong to either is
-    /// not checked against the order of any.
+    /// Returns the attempts of a submission, in the order of their arrival. If a client's connection broke
+    /// and it submitted the message again, the courier may have received it over two connections; an
+    /// attempt that could belong to either is left out, as the order of neither connection applies to it.
     fn attempts_of(&self, submission: &Submission) -> Vec<&'a Arrival> {
         let in_flight = InFlightMessage { message: submission.message, courier: submission.recipient() };
         let of_message = self.submissions.get(&in_flight).map_or(&[][..], Vec::as_slice);
@@ -81,21 +81,22 @@
             |other: &&Submission| other.position.connection != submission.position.connection;
         let others: Vec<&Submission> = of_message.iter().copied().filter(on_another_connection).collect();
         let unambiguous = |arrival: &&Arrival| {
-            let of_another = others.iter().any(|other| self.is_within(arrival, other));
-            self.is_within(arrival, submission) && !of_another
+            let of_another = others.iter().any(|other| self.is_attempt_at(arrival, other));
+            self.is_attempt_at(arrival, submission) && !of_another
         };
         self.index.arrivals_of(submission.message).iter().copied().filter(unambiguous).collect()
     }
 
     /// Returns whether the courier sent the attempt while the submission was in flight.
-    fn is_within(&self, arrival: &Arrival, submission: &Submission) -> bool {
+    fn is_attempt_at(&self, arrival: &Arrival, submission: &Submission) -> bool {
         let sent = arrival.sent();
         let latest = submission.completed_at() + self.invariants.timing_tolerance;
         arrival.sender() == submission.recipient() && sent >= submission.at && sent <= latest
     }
 }
 
-/// Checks that the first attempt at `later` was sent after each attempt at `earlier` and its cooldown.
+/// Checks that the first attempt at `later` was sent after each attempt at `earlier` and the cooldown of the
+/// key after it.
 fn check_order(
     result: &mut InvariantResult,
     lookup: &AttemptLookup<'_>,
@@ -103,7 +104,7 @@
     earlier: &Submission,
     later: &Submission,
 ) {
-    // A message that its client submitted again moved to the back of the queue.
+    // A message that its client submitted again moves to the end of the queue.
     if earlier.message == later.message {
         return;
     }
@@ -126,7 +127,8 @@
     }
 }
 
-/// Returns when the next message of the key may be sent after an attempt.
+/// Returns when the next message of the key may be sent: when the endpoint answered the attempt, but no later
+/// than `key_cooldown` after the attempt was sent.
 fn cooldown_end(attempt: &Arrival, key_cooldown: Time) -> Time {
     let longest = attempt.sent() + key_cooldown;
     match (attempt.verdict, attempt.answered) {
--- a/crates/conformance/src/rules/recovery.rs
+++ b/crates/conformance/src/rules/recovery.rs
@@ -10,6 +10,7 @@
 const RULE: &str = "4 a destination back from an outage is not pushed over";
 
 /// Calls cluster by chance: a count up to this many standard deviations above its mean is not an overload.
+/// For a Poisson process, the standard deviation of the count is the square root of its mean.
 const TOLERATED_DEVIATIONS: f64 = 2.0;
 /// An overload is a violation if at least this fraction of its calls came from couriers that knew of the
 /// outage.
@@ -27,20 +28,20 @@
     }
 }
 
-/// Since when each courier knew of an outage.
+/// The time since when each courier knew of an outage.
 #[derive(Default)]
 struct OutageKnowledge {
     since: BTreeMap<CourierIncarnation, Time>,
 }
 
 impl OutageKnowledge {
-    /// Notes that the courier has known since this time, unless it knew earlier.
+    /// Records that the courier has known since `at`, unless it knew earlier.
     fn learn(&mut self, courier: CourierIncarnation, at: Time) {
         let since = self.since.entry(courier).or_insert(at);
         *since = (*since).min(at);
     }
 
-    /// Assumes that the courier has known since this time, unless a time is noted already.
+    /// Assumes that the courier has known since `at`, unless a time is already recorded.
     fn presume(&mut self, courier: CourierIncarnation, at: Time) {
         self.since.entry(courier).or_insert(at);
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// Checks all recovery ramps during which calls arrived.
+/// Checks each recovery ramp during which calls arrived.
 pub(crate) fn check(records: &Records, invariants: &Invariants) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     for outage in &records.outages {
@@ -69,7 +70,8 @@
     result
 }
 
-/// Returns one arrival of each call to the limit of an outage, ordered by call.
+/// Returns one arrival of each call to the destination, or to the route, of an outage, ordered by call
+/// number.
 fn calls_to<'a>(records: &'a Records, outage: &Outage) -> Vec<&'a Arrival> {
     let mut by_call: BTreeMap<u64, &Arrival> = BTreeMap::new();
     for arrival in &records.arrivals {
@@ -84,8 +86,8 @@
     outage.route.is_none_or(|route| route == endpoint)
 }
 
-/// Returns which couriers knew of an outage: from calls that were not served, from failed connections, or by
-/// presumption where failed connections are not recorded.
+/// Returns which couriers knew of an outage: from calls that were not served, from failed connections or,
+/// where failed connections are not recorded, by assumption.
 fn knowledge_of(
     records: &Records,
     invariants: &Invariants,
@@ -105,7 +107,7 @@
         let of_this_limit = records.endpoints.get(&failed.endpoint) == Some(&outage.destination)
             && concerns_route(outage, failed.endpoint);
         if of_this_limit && failed.from < outage.until && failed.at >= outage.from {
-            knowledge.learn(failed.witness(), failed.at);
+            knowledge.learn(failed.observer(), failed.at);
         }
     }
     if outage.refused_connections && records.failed_connects.is_none() {
@@ -114,7 +116,7 @@
     knowledge
 }
 
-/// Presumes that every courier knew that had a message in flight for the destination during the outage.
+/// Assumes that every courier with a message in flight for the destination during the outage knew of it.
 fn presume_knowledge(knowledge: &mut OutageKnowledge, records: &Records, outage: &Outage) {
     for submission in &records.submissions {
         let in_flight_during_outage = submission.at < outage.until && submission.completed_at() > outage.from;
@@ -159,7 +161,7 @@
 
 /// Returns how many calls may arrive in the window of the ramp that starts at `begin`.
 fn max_calls(invariants: &Invariants, outage: &Outage, begin: Time) -> f64 {
-    // The capacity grows linearly during the ramp, so its mean is the capacity in the middle of the window.
+    // The capacity grows linearly during the ramp, so its mean over the window is its value at the middle.
     let middle = (begin - outage.until) as f64 + invariants.overload_window as f64 / 2.0;
     let progress = (middle / outage.slow_start_duration.max(1) as f64).min(1.0);
     let share = outage.slow_start_ratio + (1.0 - outage.slow_start_ratio) * progress;
--- a/crates/conformance/src/rules/retry_after.rs
+++ b/crates/conformance/src/rules/retry_after.rs
@@ -1,4 +1,5 @@
-//! Rule 6: a courier honours the Retry-After that it was given.
+//! Rule 6: after a rejection with a Retry-After, a courier makes no call to the same limit until it has
+//! expired.
 
 use super::millis;
 use crate::invariants::Invariants;
@@ -8,7 +9,8 @@
 
 const RULE: &str = "6 told waits are heeded";
 
-/// The scope of a Retry-After: one courier at one destination, or at one independent route of it.
+/// The scope of a Retry-After: the calls of one courier to one destination, or to one independent route of
+/// it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LimitedSender {
     sender: CourierIncarnation,
@@ -16,7 +18,7 @@
     route: Option<u32>,
 }
 
-/// Checks all rejections with a Retry-After that reached the courier before it expired.
+/// Checks each rejection whose Retry-After had not expired when it reached the courier.
 pub(crate) fn check(records: &Records, invariants: &Invariants) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     let mut by_limit: BTreeMap<LimitedSender, Vec<&Arrival>> = BTreeMap::new();
@@ -41,7 +43,7 @@
     }
 }
 
-/// Checks that the sender made no further call to the limit before the Retry-After of `rejected` was over.
+/// Checks that the sender made no further call to the limit before the Retry-After of `rejected` expired.
 fn check_rejection(
     result: &mut InvariantResult,
     records: &Records,
--- a/crates/conformance/src/rules/single_effect.rs
+++ b/crates/conformance/src/rules/single_effect.rs
@@ -12,20 +12,20 @@
 /// How endpoints deduplicate messages with an idempotency key.
 #[derive(Clone, Copy)]
 struct Deduplication {
-    /// How long after the first execution an endpoint recognizes the key.
+    /// How long after the first execution an endpoint still recognizes the key.
     window: Time,
     /// Whether only the endpoints of one zone share their keys.
     per_zone: bool,
 }
 
-/// A message with its submissions and the arrivals that may have been executed.
+/// A message with its submissions and the arrivals that the endpoint did not reject, sorted by time.
 struct MessageHistory<'a> {
     message: u64,
     submissions: &'a [&'a Submission],
     possibly_executed: Vec<&'a Arrival>,
 }
 
-/// Checks all messages of classes that are not idempotent by themselves.
+/// Checks all messages of classes whose execution is not idempotent.
 pub(crate) fn check(invariants: &Invariants, index: &RecordIndex<'_>) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     for (message, submissions) in index.messages() {
@@ -43,8 +43,8 @@
                 let deduplication = Deduplication { window, per_zone };
                 history.check_window_across_couriers(&mut result, invariants, deduplication);
                 history.check_attempts_of_each_courier(&mut result, invariants, deduplication);
-                // Where all endpoints share their keys, a message may be rejected after it was executed: they
-                // recognize it when it is submitted again.
+                // Where all endpoints share their keys, a message may be rejected after it was executed: any
+                // endpoint recognizes it when it is submitted again.
                 if per_zone {
                     history.check_rejections(&mut result);
                 } else {
@@ -69,8 +69,8 @@
         });
     }
 
-    /// Checks that a message that its client submitted again was not sent after the deduplication window,
-    /// where all endpoints share their keys.
+    /// Checks that a message that its client submitted again was not sent after the deduplication window of
+    /// the first attempt, by whichever courier. Applies only where all endpoints share their keys.
     fn check_window_across_couriers(
         &self,
         result: &mut InvariantResult,
@@ -124,7 +124,8 @@
         self.possibly_executed.iter().copied().filter(by_recipient).collect()
     }
 
-    /// Checks that no message was rejected after it may have been executed: the client would submit it again.
+    /// Checks that no submission was rejected after it may have been executed, as the client would submit the
+    /// message again.
     fn check_rejections(&self, result: &mut InvariantResult) {
         for submission in self.submissions {
             let Some(rejected_at) = rejected_at(submission) else { continue };
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Counts rejections that satisfy the rule whatever was executed before.
+    /// Counts each rejection as a case that satisfies the rule, whatever was executed before.
     fn count_rejections(&self, result: &mut InvariantResult) {
         for _ in self.submissions.iter().filter(|submission| rejected_at(submission).is_some()) {
             result.record(CaseOutcome::Satisfied, String::new);
--- a/crates/conformance/src/summary.rs
+++ b/crates/conformance/src/summary.rs
@@ -8,9 +8,9 @@
 use linnetcart::{Idempotency, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Length of the intervals of which the worst is reported, in nanoseconds.
+/// Length of the intervals whose lowest weight ratio is reported: 10 s, in nanoseconds.
 const INTERVAL_LENGTH: Time = 10_000_000_000;
-/// Least divisor of a weight ratio, so that a requested weight of zero divides nothing.
+/// Lower bound of the denominator of a weight ratio: without requested weight the ratio is 0, not NaN.
 const MIN_REQUESTED_WEIGHT: f64 = 1e-9;
 
 /// The summaries of all classes, and of the service over all of them.
@@ -18,11 +18,11 @@
     pub(crate) classes: Vec<ClassSummary>,
     /// Delivered weight divided by requested weight.
     pub(crate) overall: f64,
-    /// The lowest such ratio within one interval.
+    /// The lowest value of this ratio in any interval of [`INTERVAL_LENGTH`].
     pub(crate) worst_interval: f64,
 }
 
-/// Calls that reached endpoints.
+/// The number of calls that reached endpoints.
 pub(crate) struct CallCounts {
     pub(crate) total: u64,
     pub(crate) rejected: u64,
@@ -35,7 +35,7 @@
     requested: f64,
 }
 
-/// Counts calls. A call that carried several messages counts once.
+/// Counts the calls that reached endpoints. A call that carried several messages counts once.
 pub(crate) fn count_calls(records: &Records) -> CallCounts {
     let mut all = BTreeSet::new();
     let mut rejected = BTreeSet::new();
@@ -88,7 +88,7 @@
     delivered / requested.max(MIN_REQUESTED_WEIGHT)
 }
 
-/// Returns when a message was answered as served, or `None` if it never was.
+/// Returns when the client was told that the message was served, or `None` if it never was.
 fn served_at(submissions: &[&Submission]) -> Option<Time> {
     let mut answers = submissions.iter().flat_map(|submission| &submission.answers);
     answers.find(|answer| answer.answer == Answer::Served).map(|answer| answer.at)
@@ -105,7 +105,7 @@
     served_at(submissions).map_or(0.0, |at| class.weight_at(at - submissions[0].at))
 }
 
-/// Counts a message under the way in which it ended.
+/// Adds a message to the counter of its outcome.
 fn count_outcome(summary: &mut ClassSummary, submissions: &[&Submission], class: &Class) {
     if let Some(at) = served_at(submissions) {
         let age = at - submissions[0].at;
--- a/crates/conformance/tests/invariants/final_answer.rs
+++ b/crates/conformance/tests/invariants/final_answer.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn final_answer_on_a_slow_link_satisfies_rule_1_if_sent_in_time() {
-    // The three trips of a connection that is established in time do not extend the deadline.
+    // If the connection is established before the deadline, its three trips do not extend the deadline.
     let slow = |at| {
         let mut records = idempotent_message(&[(at, Answer::Failed)], &[]);
         records.submissions[0].answer_travelled = 40 * MS;
--- a/crates/conformance/tests/invariants/main.rs
+++ b/crates/conformance/tests/invariants/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the conformance checks: each check reports the violation that it is for, and nothing where there
-//! is none.
+//! Tests of the conformance checks: each check reports violations of its own rule, and none in records that
+//! satisfy it.
 
 mod draining;
 mod final_answer;
@@ -28,8 +28,8 @@
     let report = check(&records, &invariants());
     assert!(report.is_conformant(), "{report:?}");
     assert_eq!((report.classes[2].within_objective, report.classes[1].late), (1, 1));
-    // The message is served two thirds of the way from its objective to its deadline, where half the weight
-    // remains.
+    // The message is served two thirds of the way from its objective to its deadline; at the deadline half of
+    // the weight would remain.
     assert!((report.classes[1].delivered_weight - (1.0 - 0.5 * 2.0 / 3.0)).abs() < 1e-9);
 }
 
--- a/crates/conformance/tests/invariants/single_effect.rs
+++ b/crates/conformance/tests/invariants/single_effect.rs
@@ -11,7 +11,7 @@
     Arrival { effect: false, ..arrival(1, 2200 * MS, EndpointVerdict::Served) }
 }
 
-/// The parameters with a keyed class whose keys all endpoints share.
+/// The parameters, with a keyed class whose keys all endpoints share.
 fn invariants_with_keys_known_at_all_endpoints() -> Invariants {
     let mut invariants = invariants();
     invariants.classes[KEYED].idempotency = Idempotency::Keyed { dedup_window: 2 * S, per_zone: false };
@@ -48,8 +48,8 @@
 
 #[test]
 fn keyed_message_submitted_to_another_courier_after_its_window_breaks_rule_2() {
-    // The second courier stayed within the window that it knew of; the client submitted the message again too
-    // late.
+    // Both couriers stayed within the window counted from their own first attempt, but the client submitted
+    // the message again too late for the window of the first.
     let mut forwarded = message_of_class(1, Answer::Served, &[served_attempt()]);
     let second = submission(1, 1, 2 * S, &[(3500 * MS, Answer::Served)]);
     forwarded.submissions.push(Submission { courier: 1, ..second });
@@ -67,7 +67,7 @@
     let mut twice = message_of_class(1, Answer::Rejected, &[unanswered_attempt(), served_after_window()]);
     twice.submissions[0].answers[0].at = S;
     twice.submissions.push(submission(1, 1, 2 * S, &[(3 * S, Answer::Served)]));
-    // Keys are shared within a zone only: the rejection is the violation, not the second attempt.
+    // Keys are shared within a zone only, so the rejection is the violation and the second attempt is none.
     assert_eq!(check(&twice, &invariants()).rules[1].violations, 1);
     let rejected = message_of_class(1, Answer::Rejected, &[unanswered_attempt()]);
     assert_eq!(violations(&rejected), only_rule(2));
