--- a/crates/edge/tests/process/courier.rs
+++ b/crates/edge/tests/process/courier.rs
@@ -1,4 +1,4 @@
-//! The program in a directory of its own, its configuration, and requests to it.
+//! Runs the program in a temporary directory, writes its configuration and sends requests to it.
 
 use linnetcart_fault_injection::FaultControl;
 use linnetcart_net::Reserved;
@@ -12,45 +12,48 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How long [`wait_until`] waits between two checks.
+/// How long [`wait_until`] sleeps between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// After so many checks [`wait_until`] has failed: half a minute.
+/// Number of checks after which [`wait_until`] panics: 1500 * 20 ms = 30 s.
 const MAX_CHECKS: usize = 1500;
-/// How long a request to the courier may take.
+/// How long [`CourierProcess::request`] waits for the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The unit in which the platform counts the size of a file.
+/// The platform counts the size of a file in whole blocks of this many bytes.
 const BLOCK_BYTES: u64 = 512;
-/// Determines which calls fail where a fault is injected into some calls only.
+/// Seed that determines which calls fail when a fault is injected into only a fraction of them.
 const FAULT_SEED: u64 = 1;
 const READY_REQUEST: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// The program in a directory of its own, which is removed at the end unless the test fails.
+/// A courier process with its configuration, state and log in a temporary directory. Dropping it kills the
+/// process and, unless the test failed, removes the directory.
 pub struct CourierProcess {
     pub dir: PathBuf,
     pub listen: SocketAddr,
     pub child: Child,
-    /// The faults of the process, which has none at first.
+    /// Controls which faults are injected into the process; none at first.
     pub faults: FaultControl,
     _port: Reserved,
 }
 
 impl CourierProcess {
-    /// Starts the program with one endpoint of destination 3. `name` is unique among the tests.
+    /// Starts the program with one endpoint of destination 3. `name` must be unique among the tests, as it
+    /// names the directory.
     pub fn new(name: &str, endpoint: SocketAddr, discovery: SocketAddr) -> CourierProcess {
-        CourierProcess::with_config(name, |listen| config_file(listen, &[endpoint], discovery))
+        CourierProcess::with_config(name, |listen| platform_config(listen, &[endpoint], discovery))
     }
 
-    /// Starts the program on the configuration that `config` returns for its address.
+    /// Starts the program with the configuration that `config` returns for its listen address, and waits
+    /// until it is ready.
     pub fn with_config(name: &str, config: impl FnOnce(SocketAddr) -> Value) -> CourierProcess {
         let dir = std::env::temp_dir().join(format!("linnetcart-platform-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(dir.join("state")).unwrap();
-        // The system chooses a port and gives it to no other process.
+        // The operating system chooses a port, which stays reserved across restarts of the process.
         let port = Reserved::new(Ipv4Addr::LOCALHOST.into()).unwrap();
         let listen = port.addr();
         write_config_file(&dir, &config(listen));
         let faults = FaultControl::new(&dir.join("faults"), &dir.join("state"), FAULT_SEED).unwrap();
-        let child = start_program(&dir, &faults);
+        let child = spawn_courier(&dir, &faults);
         let courier = CourierProcess { dir, listen, child, faults, _port: port };
         courier.wait_until_ready();
         courier
@@ -58,9 +61,9 @@
 
     // ---- The process
 
-    /// Starts the program again without waiting for it.
+    /// Starts the program again without waiting until it is ready.
     pub fn start(&mut self) {
-        self.child = start_program(&self.dir, &self.faults);
+        self.child = spawn_courier(&self.dir, &self.faults);
     }
 
     /// Starts the program again and waits until it is ready.
@@ -69,7 +72,7 @@
         self.wait_until_ready();
     }
 
-    /// Kills the process.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -84,7 +87,7 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stops the process and returns once it is stopped. What is sent from then on until
+    /// Stops the process with SIGSTOP and returns once it is stopped. Everything sent to it from then until
     /// [`CourierProcess::resume`] is read in one iteration of its event loop.
     pub fn stop(&self) {
         self.signal(Signal::STOP);
@@ -95,7 +98,7 @@
         self.signal(Signal::CONT);
     }
 
-    /// Returns whether the process blocks SIGHUP, as it does once it reads its signals.
+    /// Returns whether the process blocks SIGHUP, as it does once it reads signals through its event loop.
     pub fn blocks_sighup(&self) -> bool {
         let blocked = u64::from_str_radix(&self.status_field("SigBlk:"), 16).unwrap();
         blocked & 1 != 0
@@ -111,16 +114,16 @@
         wait_until("the courier is ready", || self.request(READY_REQUEST) == Some(200));
     }
 
-    /// Waits until everything that was sent to the courier before this call has been processed. Each response
-    /// comes from an iteration of its own.
-    pub fn settle(&self) {
+    /// Waits until the courier has processed everything that was sent to it before this call: it answers
+    /// three requests one after another, each in a later iteration of its event loop.
+    pub fn wait_until_input_processed(&self) {
         (0..3).for_each(|_| self.wait_until_ready());
     }
 
     // ---- Its files
 
-    /// Returns how often this message was logged with these fields, by the current process and those before
-    /// it.
+    /// Returns how often this log message was written with these fields, by the current process and its
+    /// predecessors.
     pub fn count_logged(&self, message: &str, fields: &[(&str, Value)]) -> usize {
         let log = fs::read_to_string(self.dir.join("log")).unwrap();
         let lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -130,8 +133,8 @@
         lines.filter(is_wanted).count()
     }
 
-    /// Returns the lines that were logged with this message id, in order.
-    pub fn logged_about(&self, id: &str) -> Vec<Value> {
+    /// Returns the log lines whose field `id` is this message id, in order.
+    pub fn log_lines_of(&self, id: &str) -> Vec<Value> {
         let log = fs::read_to_string(self.dir.join("log")).unwrap();
         let lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         lines.filter(|line| line["id"] == id).collect()
@@ -143,7 +146,7 @@
         entries.map(|entry| entry.unwrap().file_name()).collect()
     }
 
-    /// Returns the size of all files in the state directory, each counted in whole blocks.
+    /// Returns the total size of the files in the state directory in bytes, each rounded up to whole blocks.
     pub fn state_bytes(&self) -> u64 {
         let entries = fs::read_dir(self.dir.join("state")).unwrap();
         let sizes = entries.flatten().filter_map(|entry| entry.metadata().ok()).map(|file| file.len());
@@ -154,25 +157,25 @@
         serde_json::from_str(&fs::read_to_string(self.dir.join("config.json")).unwrap()).unwrap()
     }
 
-    /// Replaces the configuration at once.
+    /// Replaces the configuration atomically.
     pub fn write_config(&self, config: &Value) {
         write_config_file(&self.dir, config);
     }
 
-    /// Overwrites the configuration with this text, complete or not.
+    /// Overwrites the configuration in place with this text, which may be incomplete.
     pub fn overwrite_config(&self, text: &str) {
         fs::write(self.dir.join("config.json"), text).unwrap();
     }
 
     // ---- Requests
 
-    /// Sends a request on a connection of its own. Returns the status of the response, or `None` if there is
-    /// none.
+    /// Sends a request on a new connection. Returns the status of the response, or `None` if there is none
+    /// within [`REQUEST_TIMEOUT`].
     pub fn request(&self, text: &str) -> Option<u16> {
         self.request_within(text, REQUEST_TIMEOUT)
     }
 
-    /// Sends a request as [`CourierProcess::request`] does, and waits this long for the response.
+    /// Like [`CourierProcess::request`], but waits this long for the response.
     pub fn request_within(&self, text: &str, timeout: Duration) -> Option<u16> {
         let mut stream = TcpStream::connect(self.listen).ok()?;
         stream.set_read_timeout(Some(timeout)).ok()?;
@@ -182,7 +185,8 @@
         std::str::from_utf8(&status_line[9..]).ok()?.parse().ok()
     }
 
-    /// Submits a message for destination 3. Returns the status of the response, 0 if there is none.
+    /// Submits a message for destination 3 with 9 s to its deadline. Returns the status of the response, or
+    /// 0 if there is none.
     pub fn submit(&self, class: &str, id: &str) -> u16 {
         let text = format!(
             "POST /{class} HTTP/1.1\r\nX-Txn: {id}\r\nX-Remaining-Ms: 9000\r\nX-Route-To: dest=3\r\n\r\n"
@@ -196,16 +200,16 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
-            eprintln!("the files of the courier are left in {}", self.dir.display());
+            eprintln!("the courier's configuration, state and log are kept in {}", self.dir.display());
         } else {
             let _ = fs::remove_dir_all(&self.dir);
         }
     }
 }
 
-fn start_program(dir: &Path, faults: &FaultControl) -> Child {
+fn spawn_courier(dir: &Path, faults: &FaultControl) -> Child {
     let log = File::options().create(true).append(true).open(dir.join("log")).unwrap();
-    program()
+    courier_command()
         .env("RELAY_CONFIG", dir.join("config.json"))
         .env("RELAY_STATE", dir.join("state"))
         .envs(faults.environment())
@@ -216,8 +220,8 @@
         .unwrap()
 }
 
-/// Returns the command of the program with the platform front.
-pub fn program() -> Command {
+/// Returns the command that runs the program with the platform's protocol.
+pub fn courier_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linnetcart-edge"));
     command.args(["platform", "--log-level", "debug"]);
     command
@@ -229,14 +233,15 @@
     fs::rename(new_path, dir.join("config.json")).unwrap();
 }
 
-/// Returns an entry of the endpoint list, for destination 3.
+/// Returns an entry of the endpoint list for an endpoint of destination 3.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": "bank", "group": 3,
         "status": status, "weight": 50.0, "since_ms": 0})
 }
 
-/// Returns a configuration with these endpoints of destination 3.
-pub fn config_file(listen: SocketAddr, endpoints: &[SocketAddr], discovery: SocketAddr) -> Value {
+/// Returns the configuration file's content, with these endpoints of destination 3 and three classes:
+/// `status` is idempotent, `order` is not, and `change` has an idempotency key and is ordered by key.
+pub fn platform_config(listen: SocketAddr, endpoints: &[SocketAddr], discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str, ordered: bool| {
         json!({"name": name, "idempotency": effect, "worth": 1, "slo_ns": 3_000_000_000u64, "late_worth": 0.5,
             "hard_limit_ns": 30_000_000_000u64, "key_ttl_ns": 60_000_000_000u64, "group": "all",
@@ -258,7 +263,7 @@
     })
 }
 
-/// Waits until `done` returns `true`. Panics with `what` if it does not.
+/// Waits until `done` returns `true`, for 30 s at most. `what` names the condition in the panic message.
 pub fn wait_until(what: &str, done: impl Fn() -> bool) {
     for _ in 0..MAX_CHECKS {
         if done() {
@@ -266,10 +271,11 @@
         }
         std::thread::sleep(CHECK_INTERVAL);
     }
-    panic!("timed out after half a minute, waiting until {what}");
+    panic!("timed out after 30 s waiting until {what}");
 }
 
-/// Returns a request that submits a message for destination 3, with these additional header fields.
+/// Returns a request that submits a message for destination 3 with 30 s to its deadline and these
+/// additional header fields.
 pub fn submission(class: &str, id: &str, fields: &str) -> String {
     format!(
         "POST /{class} HTTP/1.1\r\nX-Txn: {id}\r\nIdempotency-Key: t-{id}\r\nX-Remaining-Ms: 30000\r\n\
--- a/crates/edge/tests/process/faults/event_loop.rs
+++ b/crates/edge/tests/process/faults/event_loop.rs
@@ -1,4 +1,4 @@
-//! The wait for events and registrations with it fail for a moment.
+//! The wait for events (`epoll_wait`) and registrations with it (`epoll_ctl`) fail temporarily.
 
 use crate::courier::{submission, wait_until, CourierProcess};
 use crate::peer::Peer;
@@ -8,7 +8,9 @@
 
 const MESSAGES: usize = 60;
 
-fn serve_under(name: &str, fault: Fault, rate: Rate) {
+/// Submits messages on one connection while a fault is injected, and checks that all are delivered once and
+/// that the process exits normally at SIGTERM.
+fn check_served_under(name: &str, fault: Fault, rate: Rate) {
     let endpoint = endpoint_stub();
     let discovery = discovery_stub();
     let mut courier = CourierProcess::new(name, endpoint.address, discovery.address);
@@ -28,17 +30,18 @@
 }
 
 #[test]
-fn wait_interrupted_in_series_loop_goes_on() {
-    serve_under("wait-eintr", Fault::WaitInterrupted, 240);
+fn wait_interrupted_repeatedly_event_loop_keeps_running() {
+    check_served_under("wait-eintr", Fault::WaitInterrupted, 240);
 }
 
+/// A failed `epoll_ctl` ends the wait for events; what was reported ready before it must still be processed.
 #[test]
-fn event_loop_cannot_rearm_its_timer_no_event_is_lost_and_process_goes_on() {
-    serve_under("rearm", Fault::RegisterAgain, 100);
+fn event_loop_cannot_rearm_its_timer_no_event_is_lost_and_process_keeps_running() {
+    check_served_under("rearm", Fault::RegisterAgain, 100);
 }
 
 #[test]
-fn stopped_and_continued_in_series_answers_are_complete() {
+fn stopped_and_continued_repeatedly_answers_are_complete() {
     let endpoint = endpoint_stub();
     let discovery = discovery_stub();
     let courier = CourierProcess::new("stop-cont", endpoint.address, discovery.address);
--- a/crates/edge/tests/process/faults/journal_restart.rs
+++ b/crates/edge/tests/process/faults/journal_restart.rs
@@ -1,4 +1,4 @@
-//! The journal fails at the start of a process, or at its end.
+//! The journal fails while a process starts or shuts down, or the process is killed while it writes.
 
 use super::{make_journal_unwritable, JOURNAL_UNWRITABLE};
 use crate::courier::{submission, wait_until, CourierProcess};
@@ -7,18 +7,20 @@
 use linnetcart_fault_injection::Fault;
 use std::time::Duration;
 
-/// How long a fault lasts at the start of the process in these tests.
+/// How long the faults at the start of the process last in these tests.
 const FAILURE_AT_START: Duration = Duration::from_millis(800);
-/// Submissions of [`killed_in_journal_write_accepted_messages_are_completed_and_rejected_ones_never_sent`].
+/// Upper bound of the submissions in
+/// [`killed_in_journal_write_accepted_messages_are_completed_and_rejected_ones_never_sent`].
 const MAX_SUBMISSIONS: usize = 5000;
 
-/// Restarts a courier that owes a message while this fault lasts, and waits until it serves.
-fn restart_under(name: &str, faults: &[Fault]) {
+/// Restarts a courier with a pending message under these faults. Checks that the process waits until they
+/// are over instead of exiting, and then attempts the message.
+fn check_restart_under(name: &str, faults: &[Fault]) {
     let endpoint = endpoint_stub();
     let discovery = discovery_stub();
     let mut courier = CourierProcess::new(name, endpoint.address, discovery.address);
-    assert_eq!(courier.submit("status", "slow-owed"), 202);
-    wait_until("its attempt is out", || endpoint.count_matching("slow-owed") == 1);
+    assert_eq!(courier.submit("status", "slow-pending"), 202);
+    wait_until("its attempt is in flight", || endpoint.count_matching("slow-pending") == 1);
     courier.kill();
     faults.iter().for_each(|&fault| courier.faults.always(fault));
     courier.start();
@@ -28,40 +30,44 @@
     assert!(injected > 0, "no call has failed");
     courier.faults.clear();
     courier.wait_until_ready();
-    wait_until("the owed message is attempted", || endpoint.count_matching("slow-owed") > 1);
+    wait_until("the pending message is attempted", || endpoint.count_matching("slow-pending") > 1);
 }
 
 #[test]
 fn journal_unwritable_at_start_process_waits_for_it() {
-    restart_under("start-write", &JOURNAL_UNWRITABLE);
+    check_restart_under("start-write", &JOURNAL_UNWRITABLE);
 }
 
+/// A journal that cannot be read must not be taken for an empty one, as its messages would be lost.
 #[test]
-fn journal_unreadable_at_start_is_no_empty_journal() {
-    restart_under("start-read", &[Fault::FileRead]);
+fn journal_unreadable_at_start_is_not_treated_as_empty() {
+    check_restart_under("start-read", &[Fault::FileRead]);
 }
 
 #[test]
 fn journal_directory_unlistable_at_start_process_waits_for_it() {
-    restart_under("start-list", &[Fault::DirectoryList]);
+    check_restart_under("start-list", &[Fault::DirectoryList]);
 }
 
 #[test]
 fn listener_cannot_be_opened_at_start_process_waits_for_it() {
-    restart_under("start-socket", &[Fault::Socket]);
+    check_restart_under("start-socket", &[Fault::Socket]);
 }
 
 #[test]
 fn registration_with_event_loop_fails_at_start_process_waits_for_it() {
-    restart_under("start-register", &[Fault::Register]);
+    check_restart_under("start-register", &[Fault::Register]);
 }
 
 #[test]
 fn every_fault_at_start_process_waits_and_serves() {
     let faults = Fault::ALL.into_iter().filter(|&fault| fault != Fault::KillInFileWrite);
-    restart_under("start-all", &faults.collect::<Vec<_>>());
+    check_restart_under("start-all", &faults.collect::<Vec<_>>());
 }
 
+/// A kill in the middle of a write leaves a torn record at the end of the journal. Records after an earlier
+/// torn one, which could not be truncated, must still be read, and a message that was rejected because its
+/// record was torn must not be sent.
 #[test]
 fn killed_in_journal_write_accepted_messages_are_completed_and_rejected_ones_never_sent() {
     for seed in 0..12u8 {
@@ -70,7 +76,7 @@
         let mut courier = CourierProcess::new(&format!("half-{seed}"), endpoint.address, discovery.address);
         let submit = |n: usize| courier.request(&submission("order", &format!("m{n:04}-"), ""));
         let mut answers = Vec::new();
-        // Some writes take a part only, and the torn part cannot be removed; one kills the process.
+        // Some writes are short and the torn record cannot be truncated; one write kills the process.
         courier.faults.set(Fault::FileShortWrite, 60);
         courier.faults.always(Fault::FileTruncate);
         courier.faults.set(Fault::KillInFileWrite, 16 + seed);
@@ -98,13 +104,13 @@
 }
 
 #[test]
-fn journal_unwritable_during_shutdown_requests_are_answered_and_owed_ones_kept() {
+fn journal_unwritable_during_shutdown_requests_are_answered_and_pending_messages_kept() {
     let gate = GatedListener::new();
     let discovery = discovery_stub();
     let mut courier = CourierProcess::new("shutdown", gate.address, discovery.address);
-    assert_eq!(courier.submit("status", "owed"), 202);
+    assert_eq!(courier.submit("status", "pending"), 202);
     let mut attempt = gate.accept();
-    assert_eq!(attempt.read_request(), "owed");
+    assert_eq!(attempt.read_request(), "pending");
     courier.signal(rustix::process::Signal::TERM);
     make_journal_unwritable(&courier);
     for n in 0..5 {
@@ -116,5 +122,5 @@
     drop(attempt);
     courier.restart();
     let mut attempt = gate.accept();
-    assert_eq!(attempt.read_request(), "owed");
+    assert_eq!(attempt.read_request(), "pending");
 }
--- a/crates/edge/tests/process/faults/sockets.rs
+++ b/crates/edge/tests/process/faults/sockets.rs
@@ -1,4 +1,6 @@
-//! Calls on sockets fail for a moment.
+//! System calls on sockets fail temporarily.
+//!
+//! A temporary failure must neither lose a request or an answer nor count against the endpoint.
 
 use crate::courier::{entry, submission, wait_until, CourierProcess};
 use crate::peer::{serve_next_request, GatedListener, Peer};
@@ -8,9 +10,9 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Messages that are submitted in a test of one fault: fewer than may be in flight before load is shed.
+/// Number of messages submitted in a test of one fault: fewer than may be in flight before load is shed.
 const MESSAGES: usize = 30;
-/// How long a fault of every call lasts.
+/// How long a fault that is injected into every call lasts.
 const FAILURE: Duration = Duration::from_millis(600);
 
 struct Setup {
@@ -26,9 +28,9 @@
     Setup { endpoint, courier, _discovery: discovery }
 }
 
-/// Submits messages on one connection while a fault is injected, and checks that each of them is answered and
-/// delivered once.
-fn serve_under(name: &str, faults: &[(Fault, Rate)]) {
+/// Submits messages on one connection while these faults are injected, and checks that each message is
+/// accepted and delivered exactly once.
+fn check_served_under(name: &str, faults: &[(Fault, Rate)]) {
     let Setup { endpoint, courier, _discovery } = setup(name);
     let mut client = Peer::connect(courier.listen);
     for &(fault, rate) in faults {
@@ -46,43 +48,44 @@
         assert!(courier.faults.injected(fault) > 0, "{fault:?} was not injected");
     }
     courier.faults.clear();
-    courier.settle();
+    courier.wait_until_input_processed();
     assert_eq!(endpoint.requests().len(), MESSAGES, "a message was sent twice");
 }
 
 #[test]
-fn send_interrupted_in_series_answers_and_calls_are_complete() {
-    serve_under("send-eintr", &[(Fault::SendInterrupted, 220), (Fault::SendShort, 200)]);
+fn send_interrupted_or_short_answers_and_calls_are_complete() {
+    check_served_under("send-eintr", &[(Fault::SendInterrupted, 220), (Fault::SendShort, 200)]);
 }
 
 #[test]
 fn send_without_buffers_keeps_connection_and_answer() {
-    serve_under("send-enobufs", &[(Fault::SendNoBuffers, 128)]);
+    check_served_under("send-enobufs", &[(Fault::SendNoBuffers, 128)]);
 }
 
 #[test]
 fn receive_interrupted_or_short_requests_are_complete() {
-    serve_under("recv-eintr", &[(Fault::ReceiveInterrupted, 200), (Fault::ReceiveShort, 200)]);
+    check_served_under("recv-eintr", &[(Fault::ReceiveInterrupted, 200), (Fault::ReceiveShort, 200)]);
 }
 
 #[test]
 fn receive_without_buffers_keeps_connection_and_request() {
-    serve_under("recv-enobufs", &[(Fault::ReceiveNoBuffers, 128)]);
+    check_served_under("recv-enobufs", &[(Fault::ReceiveNoBuffers, 128)]);
 }
 
+/// After `EINTR`, a non-blocking connect is still in progress: it must be awaited, not repeated.
 #[test]
-fn connect_interrupted_goes_on_in_the_kernel() {
-    serve_under("connect-eintr", &[(Fault::ConnectInterrupted, 255)]);
+fn connect_interrupted_continues_in_the_kernel() {
+    check_served_under("connect-eintr", &[(Fault::ConnectInterrupted, 255)]);
 }
 
 #[test]
-fn status_of_connect_unknown_for_a_moment_is_asked_again() {
-    serve_under("socket-status", &[(Fault::SocketStatus, 160)]);
+fn connect_status_temporarily_unavailable_is_queried_again() {
+    check_served_under("socket-status", &[(Fault::SocketStatus, 160)]);
 }
 
-/// Makes every connect fail on the courier's own machine, and checks that messages are delivered afterwards and
-/// that the endpoint is not blamed.
-fn fail_connects_with(name: &str, fault: Fault) {
+/// Makes every connect fail for a local reason, and checks that connects are not retried in a tight loop,
+/// that messages are delivered afterwards, and that the endpoint's health does not change.
+fn check_local_connect_failure(name: &str, fault: Fault) {
     let Setup { endpoint, courier, _discovery } = setup(name);
     courier.faults.always(fault);
     let mut client = Peer::connect(courier.listen);
@@ -92,7 +95,7 @@
     }
     std::thread::sleep(FAILURE);
     let attempts = courier.faults.injected(fault);
-    assert!((1..400).contains(&attempts), "retries are paced: {attempts}");
+    assert!((1..400).contains(&attempts), "connect was tried {attempts} times");
     courier.faults.clear();
     for n in 0..MESSAGES / 2 {
         wait_until("the message is delivered", || endpoint.count_matching(&format!("m{n:03}")) == 1);
@@ -101,17 +104,17 @@
 }
 
 #[test]
-fn socket_creation_fails_endpoint_is_not_blamed_and_message_is_delivered() {
-    fail_connects_with("no-socket", Fault::Socket);
+fn socket_creation_fails_endpoint_health_is_unchanged_and_message_is_delivered() {
+    check_local_connect_failure("no-socket", Fault::Socket);
 }
 
 #[test]
-fn connect_fails_locally_endpoint_is_not_blamed_and_message_is_delivered() {
-    fail_connects_with("no-connect", Fault::Connect);
+fn connect_fails_locally_endpoint_health_is_unchanged_and_message_is_delivered() {
+    check_local_connect_failure("no-connect", Fault::Connect);
 }
 
 #[test]
-fn registration_fails_endpoint_is_not_blamed_and_message_is_delivered() {
+fn registration_fails_endpoint_health_is_unchanged_and_message_is_delivered() {
     let Setup { endpoint, courier, _discovery } = setup("no-register");
     let mut client = Peer::connect(courier.listen);
     client.send(&submission("order", "before", ""));
@@ -121,7 +124,7 @@
     client.send(&submission("order", "m", ""));
     assert_eq!(client.read_response().status, 202);
     assert!(
-        Peer::connect(courier.listen).read_until_closed(),
+        Peer::connect(courier.listen).closes_without_data(),
         "a connection that cannot be registered is closed"
     );
     courier.faults.clear();
@@ -141,6 +144,7 @@
     assert!(courier.faults.injected(Fault::Accept) > 0);
 }
 
+/// Closing a listener resets the connections in its backlog, so they must be accepted and read first.
 #[test]
 fn accept_fails_when_listener_is_closed_queued_requests_are_answered() {
     let Setup { mut courier, .. } = setup("accept-term");
@@ -169,14 +173,14 @@
 }
 
 #[test]
-fn sends_fail_for_a_moment_during_shutdown_answers_are_complete() {
+fn sends_fail_temporarily_during_shutdown_answers_are_complete() {
     let Setup { mut courier, .. } = setup("last-answer");
     let mut clients: Vec<Peer> = (0..MESSAGES).map(|_| Peer::connect(courier.listen)).collect();
-    courier.settle();
+    courier.wait_until_input_processed();
     for fault in [Fault::SendInterrupted, Fault::SendShort, Fault::SendNoBuffers] {
         courier.faults.set(fault, 128);
     }
-    // All requests have arrived when the process learns of the signal.
+    // All requests have arrived before the process reads the signal.
     courier.stop();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&submission("status", &format!("m{n:03}"), ""));
@@ -189,8 +193,10 @@
     courier.child.wait().unwrap();
 }
 
+/// A request that `send` does not take (`ENOBUFS`) waits in the connection's queue. If its endpoint starts
+/// to drain before a byte of it is taken, the attempt must be withdrawn and decided again.
 #[test]
-fn request_that_the_system_does_not_take_is_not_sent_to_an_endpoint_that_drains_meanwhile() {
+fn unsent_request_is_not_sent_to_an_endpoint_that_drains_meanwhile() {
     let discovery = GatedListener::new();
     let gate = GatedListener::new();
     let courier = CourierProcess::new("unwritten", gate.address, discovery.address);
@@ -200,7 +206,7 @@
     let mut peers = vec![];
     serve_next_request(&gate, &mut peers, SERVED);
     assert_eq!(client.read_response().status, 202);
-    courier.settle();
+    courier.wait_until_input_processed();
     courier.faults.always(Fault::SendNoBuffers);
     client.send(&submission("order", "late", ""));
     wait_until("writes fail", || courier.faults.injected(Fault::SendNoBuffers) > 2);
@@ -215,8 +221,8 @@
     });
     courier.faults.clear();
     assert_eq!(client.read_response().status, 202);
-    courier.settle();
-    // A connection may have been begun before the drain was known.
+    courier.wait_until_input_processed();
+    // A connection may have been started before the drain was known.
     while !gate.is_silent_for(300) {
         peers.push(gate.accept());
     }
--- a/crates/edge/tests/process/main.rs
+++ b/crates/edge/tests/process/main.rs
@@ -1,13 +1,14 @@
-//! Tests of the real program on the platform's protocol: started, killed, restarted, stopped and
+//! Tests of the real program with the platform's protocol: it is started, killed, restarted, stopped and
 //! reconfigured.
 //!
-//! [`courier`] runs the program in a directory of its own. [`stubs`] are discovery and endpoints that respond
-//! by themselves. [`peer`] are connections that do only what the test has them do.
+//! [`courier`] runs the program in a temporary directory. [`stubs`] has discovery and endpoints that respond
+//! on their own. [`peer`] has connections on which nothing happens unless the test calls for it.
 //!
-//! Many tests force an order of events that a race would bring about rarely. No test depends on how fast a
-//! process is: a peer acts when the test says so, and input that one iteration of the event loop must read
-//! together is sent while the process is stopped. A response that a peer has sent may still be unread by the
-//! courier; a test that needs it read calls [`courier::CourierProcess::settle`] first.
+//! Many tests force an order of events that a race would produce only rarely. No test depends on how fast a
+//! process is: peers act only when the test calls them, and input that one iteration of the event loop must
+//! read together is sent while the process is stopped (SIGSTOP). A response that a peer has sent may still be
+//! unread by the courier; a test that needs it to be read calls
+//! [`courier::CourierProcess::wait_until_input_processed`] first.
 
 mod courier;
 mod peer;
--- a/crates/edge/tests/process/peer.rs
+++ b/crates/edge/tests/process/peer.rs
@@ -1,6 +1,7 @@
-//! Connections that do only what the test has them do, so that the test determines the order of events.
+//! Connections on which every read, write and accept is called by the test, so that the test determines the
+//! order of events.
 
-use super::stubs::subject_of;
+use super::stubs::id_or_body;
 use linnetcart_http::{parse_request, parse_response, ParsedResponse, Persistence};
 use rustix::event::{poll, PollFd, PollFlags};
 use socket2::{Domain, Socket, Type};
@@ -8,16 +9,16 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A test that waits for bytes for longer has failed.
+/// How long a read waits for bytes before the test fails.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// A test that waits for a connection for longer has failed.
+/// How long [`GatedListener::accept`] waits for a connection before the test fails.
 const ACCEPT_TIMEOUT_MS: u64 = 30_000;
 /// How long [`serve_next_request`] waits for a new connection before it checks the existing ones.
 const ACCEPT_WAIT_MS: u64 = 20;
-/// After so many checks [`serve_next_request`] has failed: half a minute.
+/// Number of checks after which [`serve_next_request`] panics: 1500 * 20 ms = 30 s.
 const MAX_CHECKS: usize = 1500;
 
-/// A listener that accepts a connection when the test says so.
+/// A listener that accepts a connection only when the test calls [`GatedListener::accept`].
 pub struct GatedListener {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -31,8 +32,8 @@
         GatedListener { address: listener.local_addr().unwrap(), listener, filler: None }
     }
 
-    /// Creates a listener to which no connection is established before [`GatedListener::open`]. The operating
-    /// system tries pending ones again after 1, 3 and 7 s.
+    /// Creates a listener to which no connection is established before [`GatedListener::open`], because its
+    /// backlog is full. The kernel retransmits the SYN of a pending connection after 1, 3 and 7 s.
     pub fn not_accepting() -> GatedListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -43,26 +44,27 @@
         GatedListener { filler: Some(TcpStream::connect(address).unwrap()), listener, address }
     }
 
+    /// Empties the backlog, so that pending connections are established at their next SYN.
     pub fn open(&mut self) {
         drop(self.listener.accept().unwrap());
         self.filler = None;
     }
 
-    /// Returns whether no connection waits to be accepted.
+    /// Returns whether no connection is waiting to be accepted.
     pub fn is_silent(&self) -> bool {
         self.is_silent_for(0)
     }
 
-    /// Returns whether no connection waits to be accepted for this time.
+    /// Waits this long for a connection. Returns whether none has arrived.
     pub fn is_silent_for(&self, milliseconds: u64) -> bool {
         let mut fds = [PollFd::new(&self.listener, PollFlags::IN)];
         let span = rustix::time::Timespec::try_from(Duration::from_millis(milliseconds)).unwrap();
         poll(&mut fds, Some(&span)).unwrap() == 0
     }
 
-    /// Accepts the next connection. Panics if there is none for half a minute.
+    /// Accepts the next connection. Panics if there is none within 30 s.
     pub fn accept(&self) -> Peer {
-        assert!(!self.is_silent_for(ACCEPT_TIMEOUT_MS), "no connection within half a minute");
+        assert!(!self.is_silent_for(ACCEPT_TIMEOUT_MS), "no connection within 30 s");
         Peer::new(self.listener.accept().unwrap().0)
     }
 }
@@ -71,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
-    /// Whether the connection is closed after the response.
+    /// Whether the connection stays open after the response.
     pub persistence: Persistence,
 }
 
@@ -99,19 +101,19 @@
     /// Reads the next bytes. Returns `false` if the other side has closed the connection.
     fn read_more(&mut self) -> bool {
         let mut chunk = [0; 4096];
-        let length = self.stream.read(&mut chunk).expect("no byte within half a minute");
+        let length = self.stream.read(&mut chunk).expect("no byte within 30 s");
         self.received.extend_from_slice(&chunk[..length]);
         length > 0
     }
 
     /// Reads the next request. Returns its message id or, if it has none, its body.
     pub fn read_request(&mut self) -> String {
-        assert!(self.has_request(), "the connection was closed in place of a request");
+        assert!(self.wait_for_request(), "the connection was closed before a complete request");
         let request = parse_request(&self.received).unwrap().unwrap();
-        let subject = subject_of(&request);
+        let id_or_body = id_or_body(&request);
         let length = request.length();
         self.received.drain(..length);
-        subject
+        id_or_body
     }
 
     /// Reads the next response.
@@ -121,16 +123,16 @@
                 self.received.drain(..head.length + head.body.unwrap_or(0));
                 return Response { status: head.status, persistence: head.persistence };
             }
-            assert!(self.read_more(), "the connection was closed in place of a response");
+            assert!(self.read_more(), "the connection was closed before a complete response");
         }
     }
 
-    /// Returns whether no bytes have arrived. The end of the connection does not count.
+    /// Returns whether no bytes have arrived, even if the connection has been closed.
     pub fn is_silent(&mut self) -> bool {
         self.received.is_empty() && !matches!(self.peek(), Ok(1..))
     }
 
-    /// Returns whether bytes or the end of the connection have arrived.
+    /// Returns whether bytes or the close of the connection have arrived.
     pub fn has_input(&self) -> bool {
         self.peek().is_ok()
     }
@@ -142,8 +144,8 @@
         peeked
     }
 
-    /// Waits for a request. Returns `false` if the connection is closed before one is complete.
-    pub fn has_request(&mut self) -> bool {
+    /// Waits for a complete request. Returns `false` if the connection is closed before that.
+    pub fn wait_for_request(&mut self) -> bool {
         while parse_request(&self.received).unwrap().is_none() {
             if !self.read_more() {
                 return false;
@@ -157,11 +159,12 @@
         while self.read_more() {}
     }
 
-    /// Returns whether the other side closes or resets the connection without a byte.
-    pub fn read_until_closed(&mut self) -> bool {
+    /// Waits for the next byte. Returns whether the other side closes or resets the connection instead.
+    pub fn closes_without_data(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 
+    /// Closes the sending direction; responses can still be read.
     pub fn half_close(&mut self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
@@ -176,18 +179,19 @@
     pub id: String,
 }
 
-/// Sends `response` to the next request on any of these connections or on a new one, which is added to them.
+/// Sends `response` to the next request on any connection in `peers` or on a new one, which is added to
+/// `peers`.
 pub fn serve_next_request(gate: &GatedListener, peers: &mut Vec<Peer>, response: &str) -> ServedRequest {
     for _ in 0..MAX_CHECKS {
         if !gate.is_silent_for(ACCEPT_WAIT_MS) {
             peers.push(gate.accept());
         }
-        let requesting = peers.iter_mut().position(|peer| peer.has_input() && peer.has_request());
+        let requesting = peers.iter_mut().position(|peer| peer.has_input() && peer.wait_for_request());
         if let Some(connection) = requesting {
             let id = peers[connection].read_request();
             peers[connection].send(response);
             return ServedRequest { connection, id };
         }
     }
-    panic!("no request within half a minute");
+    panic!("no request within 30 s");
 }
--- a/crates/edge/tests/process/requests.rs
+++ b/crates/edge/tests/process/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: repeated ids, closing connections, and requests during the shutdown.
+//! Requests of clients: repeated ids, `Connection: close`, and requests during the shutdown.
 
 use crate::courier::{submission, wait_until, CourierProcess};
 use crate::peer::{Peer, Response};
@@ -9,23 +9,27 @@
 
 const ACCEPTED_AND_CLOSED: Response = Response { status: 202, persistence: Persistence::Close };
 
+/// An id must be remembered after its message is completed, also across restarts: a client may submit the
+/// message again as long as its deadline has not passed.
 #[test]
-fn completed_id_known_also_after_kills() {
+fn completed_id_is_known_after_kills() {
     let discovery = discovery_stub();
     let endpoint = endpoint_stub();
     let mut courier = CourierProcess::new("known", endpoint.address, discovery.address);
     assert_eq!(courier.submit("order", "once"), 202);
     wait_until("it is delivered", || endpoint.count_matching("once") == 1);
-    courier.settle();
+    courier.wait_until_input_processed();
     for _ in 0..3 {
         assert_eq!(courier.submit("order", "once"), 202, "its id is known");
         assert_eq!(courier.submit("status", "once"), 409, "another message with its id");
-        courier.settle();
+        courier.wait_until_input_processed();
         assert_eq!(endpoint.count_matching("once"), 1);
         courier.kill_and_restart();
     }
 }
 
+/// Two clients submit the same message in one iteration of the event loop. The decision to reject it falls
+/// at the end of the iteration: the second must not be told before that that the message is accepted.
 #[test]
 fn message_submitted_twice_in_one_iteration_gets_same_answer() {
     let discovery = discovery_stub();
@@ -35,20 +39,20 @@
         let id = format!("m-{time_left}");
         let text = submission("order", &id, "").replace("-Ms: 30000", &format!("-Ms: {time_left}"));
         let mut clients = [Peer::connect(courier.listen), Peer::connect(courier.listen)];
-        courier.settle();
+        courier.wait_until_input_processed();
         courier.stop();
         clients.iter_mut().for_each(|client| client.send(&text));
         courier.resume();
         let statuses = clients.each_mut().map(|client| client.read_response().status);
         assert_eq!(statuses, [status; 2], "both are rejected in their iteration, or both accepted");
-        courier.settle();
+        courier.wait_until_input_processed();
         wait_until("it is sent", || endpoint.count_matching(&id) >= calls);
         assert_eq!(endpoint.count_matching(&id), calls);
     }
 }
 
 #[test]
-fn client_asking_for_close_gets_it_with_its_answer() {
+fn client_requesting_connection_close_gets_it_with_its_answer() {
     let discovery = discovery_stub();
     let endpoint = endpoint_stub();
     let courier = CourierProcess::new("close", endpoint.address, discovery.address);
@@ -59,13 +63,13 @@
     let mut client = Peer::connect(courier.listen);
     client.send(&submission("order", "half", ""));
     client.half_close();
-    assert_eq!(client.read_response().status, 202, "a client that sends no more still reads");
+    assert_eq!(client.read_response().status, 202, "a half-closed connection still gets its response");
     client.read_to_end();
 }
 
-/// Ends the courier by SIGTERM and stops the process before it closes idle connections. Returns an idle
-/// connection that is still open. If the process was faster than this test, it is restarted and the test
-/// tries again.
+/// Sends SIGTERM to the courier and stops the process before it closes idle connections. Returns an idle
+/// connection that is still open. If the process closes it first, the process is restarted and the sequence
+/// is repeated.
 fn stop_after_sigterm(courier: &mut CourierProcess) -> Peer {
     loop {
         let mut idle = Peer::connect(courier.listen);
@@ -82,8 +86,10 @@
     }
 }
 
+/// The courier closes idle connections half a second after SIGTERM. A request that arrived before that, on
+/// an idle connection or on one that is still to be accepted, must be read and answered first.
 #[test]
-fn request_on_last_connections_taken_answered() {
+fn request_on_connection_accepted_during_shutdown_is_answered() {
     let discovery = discovery_stub();
     let endpoint = endpoint_stub();
     let mut courier = CourierProcess::new("term", endpoint.address, discovery.address);
@@ -93,7 +99,7 @@
         client.send(&submission("order", &format!("late-{n}"), ""));
     }
     idle.send(&submission("order", "kept", ""));
-    // The process is stopped beyond the time at which it would have closed idle connections.
+    // The process is stopped until after the time at which it would have closed idle connections.
     std::thread::sleep(Duration::from_millis(600));
     courier.resume();
     assert_eq!(idle.read_response(), ACCEPTED_AND_CLOSED);
--- a/crates/edge/tests/process/stubs.rs
+++ b/crates/edge/tests/process/stubs.rs
@@ -1,4 +1,4 @@
-//! Stubs of discovery and endpoints that respond by themselves and record the requests.
+//! Stub servers for discovery and endpoints that respond on their own and record the requests.
 
 use linnetcart_http::{parse_request, Request};
 use std::io::{Read, Write};
@@ -8,32 +8,32 @@
 /// The response of an endpoint that serves a message.
 pub const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Requests in the order in which they came, each by its message id or, without one, its body. It stays
-/// locked until the answer is written: whoever finds a request in it knows that its answer has been sent.
+/// Requests in the order of their arrival, each by its message id or, without one, its body. It stays locked
+/// until the response is written: once a test finds a request in it, the response has been sent.
 type RequestLog = Arc<Mutex<Vec<String>>>;
 
-/// Returns the response to a request, by its subject, or `None` if it gets none.
+/// Returns the response to a request with this id or body (`watch` for a GET), or `None` for no response.
 type Reply = fn(&str) -> Option<&'static [u8]>;
 
-/// A stub and the requests that it has received.
+/// A running stub server and the requests that it has received.
 pub struct Stub {
     pub address: SocketAddr,
     log: RequestLog,
 }
 
 impl Stub {
-    /// Returns the subjects of the requests so far.
+    /// Returns the id or body of each request so far.
     pub fn requests(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// Returns how many requests contain this text.
+    /// Returns how many requests have this text in their id or body.
     pub fn count_matching(&self, text: &str) -> usize {
-        self.requests().iter().filter(|subject| subject.contains(text)).count()
+        self.requests().iter().filter(|request| request.contains(text)).count()
     }
 }
 
-/// Starts a stub that responds to each request by `reply`.
+/// Starts a stub server that responds to each request with `reply`.
 fn serve(reply: Reply) -> Stub {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -54,14 +54,14 @@
     while let Ok(length @ 1..) = stream.read(&mut chunk) {
         received.extend_from_slice(&chunk[..length]);
         while let Ok(Some(request)) = parse_request(&received) {
-            let subject = subject_of(&request);
+            let id_or_body = id_or_body(&request);
             let is_watch = request.method() == b"GET";
             let request_length = request.length();
-            let answer = reply(if is_watch { "watch" } else { &subject });
+            let answer = reply(if is_watch { "watch" } else { &id_or_body });
             received.drain(..request_length);
             let mut log = log.lock().unwrap();
             if !is_watch {
-                log.push(subject);
+                log.push(id_or_body);
             }
             if stream.write_all(answer.unwrap_or(b"")).is_err() {
                 return;
@@ -71,21 +71,21 @@
 }
 
 /// Returns a request's message id or, if it has none, its body.
-pub fn subject_of(request: &Request<'_>) -> String {
-    let subject = request.field("x-txn").unwrap().unwrap_or(request.body());
-    String::from_utf8_lossy(subject).into_owned()
+pub fn id_or_body(request: &Request<'_>) -> String {
+    let bytes = request.field("x-txn").unwrap().unwrap_or(request.body());
+    String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Starts a stub of discovery. It responds to the watch with an empty line, and acknowledges all
-/// notifications.
+/// Starts a discovery stub. It responds to the watch of the endpoint list with an empty line, which changes
+/// nothing, and acknowledges every status notification.
 pub fn discovery_stub() -> Stub {
-    serve(|subject| match subject {
+    serve(|id_or_body| match id_or_body {
         "watch" => Some(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"),
         _ => Some(b"HTTP/1.1 204 No Content\r\n\r\n"),
     })
 }
 
-/// Starts a stub of an endpoint. It serves every message, except that those whose id begins with `slow` get
+/// Starts an endpoint stub. It serves every message, except that a message whose id begins with `slow` gets
 /// no response.
 pub fn endpoint_stub() -> Stub {
     serve(|id| (!id.starts_with("slow")).then_some(SERVED.as_bytes()))
--- a/crates/edge/tests/soak/agent.rs
+++ b/crates/edge/tests/soak/agent.rs
@@ -1,4 +1,4 @@
-//! Discovery: a watch without changes, and a record of every status notification.
+//! Discovery: it serves a watch of the endpoint list without changes and records every status notification.
 
 use linnetcart_http::parse_request;
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Interval of the empty lines of a watch.
+/// Interval of the empty lines that keep a watch alive.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A status notification that arrived.
@@ -21,7 +21,7 @@
 /// All notifications of a run.
 pub type NotificationLog = Arc<Mutex<Vec<Notification>>>;
 
-/// Starts discovery and returns its address.
+/// Starts a discovery server on a thread of its own and returns its address.
 pub fn start(log: NotificationLog) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
--- a/crates/edge/tests/soak/checks.rs
+++ b/crates/edge/tests/soak/checks.rs
@@ -1,25 +1,26 @@
-//! The rules, checked against what clients, endpoints and discovery saw.
+//! Checks the rules against what clients, endpoints and discovery observed.
 
 use crate::agent::{Notification, NotificationLog};
 use crate::clients::{Answer, Submission};
 use crate::endpoint::{Behaviour, Call, CallLog};
-use crate::run::{Outage, RunSettings};
+use crate::run::{Downtime, RunSettings};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Threads of the test may note a call this much later than it came.
-const NOTING_TOLERANCE: Duration = Duration::from_secs(1);
-/// No notification is overdue until this long after the courier is ready again.
+/// How long after the arrival of a call or a notification a thread of the test may record it.
+const RECORDING_TOLERANCE: Duration = Duration::from_secs(1);
+/// A notification that falls due in a downtime or within this time after it is not counted as delayed.
 const GRACE_AFTER_RESTART: Duration = Duration::from_millis(1500);
 
-/// What was seen in a run.
+/// Everything that was observed in a run.
 pub struct Observations {
     pub submissions: Vec<Submission>,
     pub calls: CallLog,
     pub notifications: NotificationLog,
-    pub outages: Vec<Outage>,
-    pub exited_unasked: bool,
+    pub downtimes: Vec<Downtime>,
+    /// Whether the process exited although the run neither signalled nor killed it.
+    pub exited_unexpectedly: bool,
 }
 
 /// The result of a run.
@@ -29,10 +30,10 @@
     pub rejected: usize,
     pub unanswered: usize,
     pub restarts: usize,
-    /// The longest time that a client waited for an answer while the courier was there.
-    pub latest_answer: Duration,
-    /// By how much the latest notification came after its message's time.
-    pub latest_notification: Duration,
+    /// The longest time that a client waited for an answer while the courier was in service.
+    pub longest_answer_time: Duration,
+    /// The longest time from a message's deadline to its notification.
+    pub longest_notification_delay: Duration,
     pub violations: Vec<String>,
 }
 
@@ -40,37 +41,37 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "seed {}: {} accepted, {} rejected, {} unanswered, {} restarts, latest answer {} ms, \
-             latest notification {} ms, {} violations",
+            "seed {}: {} accepted, {} rejected, {} unanswered, {} restarts, longest answer time {} ms, \
+             longest notification delay {} ms, {} violations",
             self.seed,
             self.accepted,
             self.rejected,
             self.unanswered,
             self.restarts,
-            self.latest_answer.as_millis(),
-            self.latest_notification.as_millis(),
+            self.longest_answer_time.as_millis(),
+            self.longest_notification_delay.as_millis(),
             self.violations.len()
         )
     }
 }
 
 impl Report {
-    /// Returns the report of a run that could not be completed.
-    pub fn of_failed_run(seed: u64) -> Report {
+    /// Returns the report of a run that panicked.
+    pub fn aborted(seed: u64) -> Report {
         Report {
             seed,
             accepted: 0,
             rejected: 0,
             unanswered: 0,
             restarts: 0,
-            latest_answer: Duration::ZERO,
-            latest_notification: Duration::ZERO,
-            violations: vec![format!("seed {seed}: the run failed, see the output of its thread")],
+            longest_answer_time: Duration::ZERO,
+            longest_notification_delay: Duration::ZERO,
+            violations: vec![format!("seed {seed}: the run panicked, see the output of its thread")],
         }
     }
 }
 
-/// The calls and notifications of a run by message.
+/// The calls and notifications of a run, by message id.
 struct ByMessage {
     calls: BTreeMap<String, Vec<Call>>,
     notifications: BTreeMap<String, Vec<Notification>>,
@@ -97,14 +98,15 @@
         self.calls(submission).iter().filter(|call| call.behaviour.executes()).count()
     }
 
-    /// Whether the platform was notified that the message may be handed in again.
+    /// Returns whether the platform was notified that the message may be submitted again.
     fn is_returned(&self, submission: &Submission) -> bool {
         let notifications = self.notifications.get(&submission.id);
         notifications.is_some_and(|all| all.iter().any(|notification| notification.state == "returned"))
     }
 
-    /// When the message had its end: served, or notified.
-    fn ended_at(&self, submission: &Submission) -> Option<Instant> {
+    /// Returns when the message was completed: served by an endpoint or notified to the platform, whichever
+    /// came first.
+    fn completed_at(&self, submission: &Submission) -> Option<Instant> {
         let served = self.calls(submission).iter().filter_map(|call| call.served_at).min();
         let notified = self.notified_at(submission);
         [served, notified].into_iter().flatten().min()
@@ -124,13 +126,13 @@
     matches!(submission.answer, Answer::Status(429 | 503))
 }
 
-/// Waits until every accepted message has its end.
-pub fn wait_for_ends(observations: &Observations, timeout: Duration) {
+/// Waits until every accepted message is completed.
+pub fn wait_for_completion(observations: &Observations, timeout: Duration) {
     let until = Instant::now() + timeout;
     while Instant::now() < until {
         let by_message = ByMessage::new(observations);
         let mut accepted = observations.submissions.iter().filter(|submission| is_accepted(submission));
-        if accepted.all(|submission| by_message.ended_at(submission).is_some()) {
+        if accepted.all(|submission| by_message.completed_at(submission).is_some()) {
             return;
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -140,8 +142,8 @@
 pub fn check(settings: &RunSettings, observations: &Observations) -> Report {
     let by_message = ByMessage::new(observations);
     let mut violations = Vec::new();
-    if observations.exited_unasked {
-        violations.push("the process exited unasked".to_owned());
+    if observations.exited_unexpectedly {
+        violations.push("the process exited unexpectedly".to_owned());
     }
     for submission in &observations.submissions {
         check_message(settings, submission, observations, &by_message, &mut violations);
@@ -153,10 +155,10 @@
         seed,
         accepted: count(is_accepted),
         rejected: count(is_rejected),
-        unanswered: count(|submission| matches!(submission.answer, Answer::Closed | Answer::Silence)),
-        restarts: observations.outages.len(),
-        latest_answer: latest_answer(observations),
-        latest_notification: latest_notification(observations, &by_message),
+        unanswered: count(|submission| matches!(submission.answer, Answer::Closed | Answer::TimedOut)),
+        restarts: observations.downtimes.len(),
+        longest_answer_time: longest_answer_time(observations),
+        longest_notification_delay: longest_notification_delay(observations, &by_message),
         violations: violations.into_iter().map(|text| format!("seed {seed}: {text}")).collect(),
     }
 }
@@ -169,47 +171,51 @@
     violations: &mut Vec<String>,
 ) {
     let Submission { id, class, answer, .. } = submission;
-    if is_accepted(submission) && by_message.ended_at(submission).is_none() {
-        violations.push(format!("lost: {class} {id} was accepted and has no end"));
+    if is_accepted(submission) && by_message.completed_at(submission).is_none() {
+        violations.push(format!("lost: {class} {id} was accepted and not completed"));
     }
     if is_rejected(submission) && by_message.executions(submission) > 0 {
-        violations.push(format!("executed: {class} {id} was rejected"));
+        violations.push(format!("executed: {class} {id}, although it was rejected"));
     }
     if *class == "order" && by_message.executions(submission) > 1 {
-        violations
-            .push(format!("twice: {class} {id} took effect {} times", by_message.executions(submission)));
+        violations.push(format!(
+            "executed more than once: {class} {id}, {} times",
+            by_message.executions(submission)
+        ));
     }
     if *class == "order" && by_message.is_returned(submission) && by_message.executions(submission) > 0 {
-        violations.push(format!("executed: {class} {id} was returned"));
+        violations.push(format!("executed: {class} {id}, although it was returned"));
     }
-    let after_end = |call: &Call| {
-        by_message.notified_at(submission).is_some_and(|at| call.arrived_at > at + NOTING_TOLERANCE)
+    let after_completion = |call: &Call| {
+        by_message.notified_at(submission).is_some_and(|at| call.arrived_at > at + RECORDING_TOLERANCE)
     };
-    if by_message.calls(submission).iter().any(after_end) {
-        violations.push(format!("after its end: {class} {id} was called after its notification"));
+    if by_message.calls(submission).iter().any(after_completion) {
+        violations.push(format!("sent after completion: {class} {id} was sent after its notification"));
     }
-    let in_outage = observations.outages.iter().any(|outage| overlaps(outage, submission));
+    let in_downtime = observations.downtimes.iter().any(|downtime| overlaps(downtime, submission));
     match answer {
-        Answer::Silence if !in_outage => violations.push(format!("silence: {class} {id} got no answer")),
-        // A close may cross a request on a connection that has been used before.
-        Answer::Closed if submission.on_new_connection && !in_outage && !closes_unread(settings) => {
+        Answer::TimedOut if !in_downtime => violations.push(format!("timed out: {class} {id} got no answer")),
+        // On a connection that has been used before, the close may cross the request.
+        Answer::Closed
+            if submission.on_new_connection && !in_downtime && !closes_connections_unread(settings) =>
+        {
             violations.push(format!("closed: {class} {id} got no answer on a new connection"));
         }
         _ => {}
     }
 }
 
-/// Whether new connections may be closed before their request is read.
-fn closes_unread(settings: &RunSettings) -> bool {
-    settings.faults.closes_unread || settings.crowd
+/// Returns whether the courier may close new connections before it has read their request.
+fn closes_connections_unread(settings: &RunSettings) -> bool {
+    settings.faults.closes_connections_unread || settings.exhausts_descriptors
 }
 
-fn overlaps(outage: &Outage, submission: &Submission) -> bool {
-    outage.from <= submission.answered_at && submission.sent_at <= outage.until
+fn overlaps(downtime: &Downtime, submission: &Submission) -> bool {
+    downtime.from <= submission.answered_at && submission.sent_at <= downtime.until
 }
 
-/// Messages of a key are handed in one after another. None may be called before the one before it has its end, nor
-/// after the next one was called.
+/// Checks the order of the messages of each key, which its client submits one after another: a message may
+/// be sent only once the one before it is completed, and not after the next one was sent.
 fn check_order(observations: &Observations, by_message: &ByMessage, violations: &mut Vec<String>) {
     let mut by_key: BTreeMap<&str, Vec<&Submission>> = BTreeMap::new();
     for submission in &observations.submissions {
@@ -222,33 +228,33 @@
         let Some(first_call) = by_message.calls(after).iter().map(|call| call.arrived_at).min() else {
             continue;
         };
-        if by_message.ended_at(before).is_none_or(|ended| first_call + NOTING_TOLERANCE < ended) {
-            violations.push(format!("order: {} was called before the end of {}", after.id, before.id));
+        if by_message.completed_at(before).is_none_or(|ended| first_call + RECORDING_TOLERANCE < ended) {
+            violations.push(format!("order: {} was sent before the completion of {}", after.id, before.id));
         }
         let overtaken = |call: &Call| call.arrived_at > first_call && call.behaviour != Behaviour::Hang;
         if by_message.calls(before).iter().any(overtaken) {
-            violations.push(format!("order: {} was called after {}", before.id, after.id));
+            violations.push(format!("order: {} was sent after {}", before.id, after.id));
         }
     }
 }
 
-fn latest_answer(observations: &Observations) -> Duration {
+fn longest_answer_time(observations: &Observations) -> Duration {
     let answered = observations.submissions.iter().filter(|submission| {
         matches!(submission.answer, Answer::Status(_))
-            && !observations.outages.iter().any(|outage| overlaps(outage, submission))
+            && !observations.downtimes.iter().any(|downtime| overlaps(downtime, submission))
     });
     answered.map(|submission| submission.answered_at - submission.sent_at).max().unwrap_or_default()
 }
 
-fn latest_notification(observations: &Observations, by_message: &ByMessage) -> Duration {
+fn longest_notification_delay(observations: &Observations, by_message: &ByMessage) -> Duration {
     let mut latest = Duration::ZERO;
     for submission in &observations.submissions {
         let Some(at) = by_message.notified_at(submission) else { continue };
-        let due = submission.sent_at + submission.time;
+        let due = submission.sent_at + submission.time_to_deadline;
         let excused = observations
-            .outages
+            .downtimes
             .iter()
-            .any(|outage| outage.from <= at && due <= outage.until + GRACE_AFTER_RESTART);
+            .any(|downtime| downtime.from <= at && due <= downtime.until + GRACE_AFTER_RESTART);
         if !excused {
             latest = latest.max(at.saturating_duration_since(due));
         }
--- a/crates/edge/tests/soak/clients.rs
+++ b/crates/edge/tests/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients that hand in messages one after another, keep their connections until the courier ends them, and record
-//! every answer.
+//! Clients that submit messages one after another, keep their connections until the courier closes them,
+//! and record every answer.
 
 use crate::random::Random;
 use linnetcart_http::{parse_response, ParsedResponse, Persistence};
@@ -8,22 +8,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A client waits far longer than those of the platform, so that a late answer can be told from none.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Pause before a client connects again.
+/// How long a client waits for an answer: far longer than the platform's clients, to distinguish a late
+/// answer from a missing one.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Pause before a client tries to connect again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(30);
 
-/// What became of a submission, as its client saw it.
+/// The answer to a submission as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Status(u16),
     /// The connection was closed, or reset, without an answer.
     Closed,
-    /// Nothing came.
-    Silence,
+    /// No answer came within [`ANSWER_TIMEOUT`].
+    TimedOut,
 }
 
-/// A message that was handed in.
+/// A message that was submitted.
 #[derive(Clone, Debug)]
 pub struct Submission {
     pub id: String,
@@ -32,13 +33,14 @@
     pub key: Option<String>,
     pub sent_at: Instant,
     pub answered_at: Instant,
-    pub time: Duration,
+    /// Time from `sent_at` to the message's deadline.
+    pub time_to_deadline: Duration,
     pub answer: Answer,
-    /// It was the first request of its connection.
+    /// Whether it was the first request on its connection.
     pub on_new_connection: bool,
 }
 
-/// Hands in messages until `stop`, and returns them in order.
+/// Submits messages until `stop` is set, and returns them in order.
 pub fn run(seed: u64, client: u64, courier: SocketAddr, stop: &AtomicBool) -> Vec<Submission> {
     let mut random = Random::new(seed, 100 + client);
     let mut submissions = Vec::new();
@@ -53,9 +55,9 @@
         let class = ["status", "order", "change"][random.below(3) as usize];
         let id = format!("{seed}-{client}-{}.", submissions.len());
         let key = (class == "change").then(|| format!("key-{client}"));
-        let time = Duration::from_millis(random.between(400, 2500));
+        let time_to_deadline = Duration::from_millis(random.between(400, 2500));
         let sent_at = Instant::now();
-        let (answer, reusable) = submit(stream, &request(class, &id, key.as_deref(), time));
+        let (answer, reusable) = submit(stream, &request(class, &id, key.as_deref(), time_to_deadline));
         connection = reusable;
         let answered_at = Instant::now();
         submissions.push(Submission {
@@ -64,7 +66,7 @@
             key,
             sent_at,
             answered_at,
-            time,
+            time_to_deadline,
             answer,
             on_new_connection,
         });
@@ -74,17 +76,17 @@
 
 fn connect(courier: SocketAddr) -> Option<TcpStream> {
     let stream = TcpStream::connect(courier).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     stream.set_nodelay(true).ok()?;
     Some(stream)
 }
 
-fn request(class: &str, id: &str, key: Option<&str>, time: Duration) -> String {
+fn request(class: &str, id: &str, key: Option<&str>, time_to_deadline: Duration) -> String {
     let cookie = key.map(|key| format!("Cookie: subject={key}\r\n")).unwrap_or_default();
     format!(
         "POST /{class} HTTP/1.1\r\nX-Txn: {id}\r\nIdempotency-Key: t-{id}\r\nX-Remaining-Ms: {}\r\n\
          X-Route-To: dest=3\r\n{cookie}Content-Length: 40\r\n\r\n{:x<40}",
-        time.as_millis(),
+        time_to_deadline.as_millis(),
         ""
     )
 }
@@ -98,14 +100,14 @@
     let mut chunk = [0; 1024];
     loop {
         if let ParsedResponse::Head(head) = parse_response(&received) {
-            let keeps = head.persistence == Persistence::KeepAlive;
-            return (Answer::Status(head.status), keeps.then_some(stream));
+            let keep_alive = head.persistence == Persistence::KeepAlive;
+            return (Answer::Status(head.status), keep_alive.then_some(stream));
         }
         match stream.read(&mut chunk) {
             Ok(0) => return (Answer::Closed, None),
             Ok(length) => received.extend_from_slice(&chunk[..length]),
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return (Answer::Silence, None);
+                return (Answer::TimedOut, None);
             }
             Err(_) => return (Answer::Closed, None),
         }
--- a/crates/edge/tests/soak/endpoint.rs
+++ b/crates/edge/tests/soak/endpoint.rs
@@ -1,4 +1,5 @@
-//! Endpoints that serve, reject, fail, hang or close, and a record of every call that reached one.
+//! Endpoints that serve, reject or fail calls, leave them unanswered or close the connection, and record
+//! every call.
 
 use crate::random::Random;
 use linnetcart_http::parse_request;
@@ -13,9 +14,11 @@
     Serve,
     ServeLate,
     Reject,
-    RejectWithWait,
+    RejectWithRetryAfter,
     Fail,
+    /// Does not answer, and closes the connection after 4 s.
     Hang,
+    /// Closes the connection without an answer.
     Close,
 }
 
@@ -25,16 +28,16 @@
             0..=69 => Behaviour::Serve,
             70..=74 => Behaviour::ServeLate,
             75..=82 => Behaviour::Reject,
-            83..=85 => Behaviour::RejectWithWait,
+            83..=85 => Behaviour::RejectWithRetryAfter,
             86..=89 => Behaviour::Fail,
             90..=93 => Behaviour::Hang,
             _ => Behaviour::Close,
         }
     }
 
-    /// Whether the message takes effect.
+    /// Returns whether the endpoint executes the message.
     pub fn executes(self) -> bool {
-        !matches!(self, Behaviour::Reject | Behaviour::RejectWithWait)
+        !matches!(self, Behaviour::Reject | Behaviour::RejectWithRetryAfter)
     }
 }
 
@@ -44,14 +47,14 @@
     pub id: String,
     pub behaviour: Behaviour,
     pub arrived_at: Instant,
-    /// When the answer that it is served was written.
+    /// When the endpoint wrote its answer that the message was served, if it did.
     pub served_at: Option<Instant>,
 }
 
 /// All calls of a run.
 pub type CallLog = Arc<Mutex<Vec<Call>>>;
 
-/// Starts an endpoint and returns its address.
+/// Starts an endpoint on a thread of its own and returns its address.
 pub fn start(seed: u64, number: u64, log: CallLog) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
@@ -90,7 +93,7 @@
     }
 }
 
-/// Answers a call. Returns whether the connection goes on.
+/// Answers the call at `index` of the log. Returns whether the connection stays open.
 fn answer(
     stream: &mut TcpStream,
     behaviour: Behaviour,
@@ -114,7 +117,9 @@
         }
         Behaviour::Close => return false,
         Behaviour::Reject => "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
-        Behaviour::RejectWithWait => "HTTP/1.1 429 Wait\r\nX-Backoff-Ms: 150\r\nContent-Length: 0\r\n\r\n",
+        Behaviour::RejectWithRetryAfter => {
+            "HTTP/1.1 429 Wait\r\nX-Backoff-Ms: 150\r\nContent-Length: 0\r\n\r\n"
+        }
         Behaviour::Fail => "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n",
     };
     stream.write_all(text.as_bytes()).is_ok()
--- a/crates/edge/tests/soak/faults.rs
+++ b/crates/edge/tests/soak/faults.rs
@@ -1,11 +1,12 @@
-//! Which faults a run injects, and when.
+//! The faults that a run injects, drawn from its seed.
 
 use crate::random::Random;
 use linnetcart_fault_injection::{Fault, FaultControl, Rate, ALWAYS};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Faults that may be injected into any call for a while.
+/// Faults that a run may draw, each with its rate. None of them closes a client's connection before its
+/// request is read.
 const FAULTS: [(Fault, Rate); 23] = [
     (Fault::FileWrite, ALWAYS),
     (Fault::FileWrite, 100),
@@ -32,15 +33,16 @@
     (Fault::LogWrite, 200),
 ];
 
-/// Faults after which a connection may be closed before its request is read.
+/// Faults that may close a client's connection before its request is read.
 const CLOSING_FAULTS: [(Fault, Rate); 2] = [(Fault::SocketOption, 60), (Fault::Register, 60)];
 
 /// The faults that a run may inject.
 #[derive(Clone, Debug)]
 pub struct FaultPlan {
     faults: Vec<(Fault, Rate)>,
-    /// Connections may be closed unread.
-    pub closes_unread: bool,
+    /// Whether the courier may close a client's connection before it has read the request.
+    pub closes_connections_unread: bool,
+    /// The longest time for which faults stay on.
     longest: Duration,
     steps_wall_clock: bool,
 }
@@ -51,15 +53,15 @@
         for _ in 0..random.between(1, 5) {
             faults.push(FAULTS[random.below(FAULTS.len() as u64) as usize]);
         }
-        let closes_unread = random.chance(20);
-        if closes_unread {
+        let closes_connections_unread = random.chance(20);
+        if closes_connections_unread {
             faults.extend(CLOSING_FAULTS);
         }
         let longest = Duration::from_millis(if random.chance(25) { 4000 } else { 700 });
-        FaultPlan { faults, closes_unread, longest, steps_wall_clock: random.chance(40) }
+        FaultPlan { faults, closes_connections_unread, longest, steps_wall_clock: random.chance(40) }
     }
 
-    /// Switches the faults on, alone and in pairs, and off again, until `stop`.
+    /// Turns one or two faults on for a random time and off again, repeatedly until `stop` is set.
     pub fn inject(&self, mut random: Random, control: &FaultControl, stop: &AtomicBool) {
         while !stop.load(Ordering::Relaxed) {
             for _ in 0..random.between(1, 2) {
@@ -87,7 +89,7 @@
     }
 }
 
-/// Waits, but not beyond `stop`.
+/// Sleeps for `span`, or until `stop` is set.
 pub fn pause(span: Duration, stop: &AtomicBool) {
     const STEP: Duration = Duration::from_millis(20);
     let mut left = span;
--- a/crates/edge/tests/soak/main.rs
+++ b/crates/edge/tests/soak/main.rs
@@ -1,11 +1,14 @@
-//! The real courier on loopback under seeded faults of its own machine, signals, and endpoints that misbehave.
+//! Soak test: the real courier on the loopback interface under random faults of its own machine, signals,
+//! kills, and endpoints that misbehave.
 //!
-//! Each seed is a run of a few seconds. After it, every message is checked against the rules: no accepted message is
-//! lost, no rejected one is executed, none that is not idempotent takes effect twice, ordering keys keep their
-//! order, and nothing is sent after a message's end.
+//! Each seed determines the random choices of one run of a few seconds. After the run, every message is
+//! checked against the rules: an accepted message is completed, a rejected one is not executed, a
+//! non-idempotent one is executed at most once, messages of an ordering key are delivered in order, and
+//! nothing is sent after the platform was notified of a message's outcome.
 //!
-//! By hand: `SOAK_SEEDS=100..150 SOAK_SECONDS=12 cargo test --release -p linnetcart-edge --test soak`. Besides the
-//! rules, which are checked without regard to time, the latest answer and the latest notification are printed.
+//! Other seeds: `SOAK_SEEDS=100..150 SOAK_SECONDS=12 cargo test --release -p linnetcart-edge --test soak`.
+//! Response times are not checked; the longest time to an answer and the longest delay of a notification
+//! are printed.
 
 #[path = "../process/courier.rs"]
 #[allow(dead_code)]
@@ -25,13 +28,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const DEFAULT_SEEDS: Range<u64> = 1..17;
+/// Duration of a run.
 const DEFAULT_SECONDS: u64 = 5;
-/// Runs at the same time.
+/// Number of runs at the same time.
 const PARALLEL_RUNS: usize = 4;
 
 fn seeds() -> Range<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else { return DEFAULT_SEEDS };
-    let (first, end) = text.split_once("..").expect("SOAK_SEEDS is FIRST..END");
+    let (first, end) = text.split_once("..").expect("SOAK_SEEDS has the form FIRST..END");
     first.parse().expect("a number")..end.parse().expect("a number")
 }
 
@@ -40,7 +44,7 @@
 }
 
 #[test]
-fn every_accepted_message_ends_and_no_rule_is_broken_under_faults() {
+fn every_accepted_message_is_completed_and_no_rule_is_violated_under_faults() {
     let seeds = seeds();
     let next = AtomicU64::new(seeds.start);
     let mut reports = Vec::new();
@@ -56,7 +60,7 @@
                     }
                     let settings = RunSettings::draw(seed, seconds());
                     let run = std::panic::catch_unwind(|| run::run(settings));
-                    reports.push(run.unwrap_or_else(|_| Report::of_failed_run(seed)));
+                    reports.push(run.unwrap_or_else(|_| Report::aborted(seed)));
                 }
             }));
         }
@@ -68,6 +72,6 @@
     for report in &reports {
         println!("{report}");
     }
-    let broken: Vec<String> = reports.iter().flat_map(|report| report.violations.clone()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations: Vec<String> = reports.iter().flat_map(|report| report.violations.clone()).collect();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/edge/tests/soak/random.rs
+++ b/crates/edge/tests/soak/random.rs
@@ -1,11 +1,12 @@
-//! A seeded generator for the choices of a run.
+//! A seeded random number generator for the choices of a run.
 
-/// The generator splitmix64.
+/// The generator SplitMix64.
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
 impl Random {
-    /// Creates the generator of one part of a run.
+    /// Creates the generator of one part of a run. Each part has its own, so that its choices do not depend
+    /// on the timing of the others.
     pub fn new(seed: u64, part: u64) -> Random {
         Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ part.wrapping_mul(0xd1b5_4a32_d192_ed03))
     }
@@ -17,17 +18,17 @@
         z ^ (z >> 31)
     }
 
-    /// Returns a number below `end`.
+    /// Returns a number from 0 to `end - 1`.
     pub fn below(&mut self, end: u64) -> u64 {
         self.next() % end.max(1)
     }
 
-    /// Returns a number from `first` to `last`.
+    /// Returns a number from `first` to `last`, both included.
     pub fn between(&mut self, first: u64, last: u64) -> u64 {
         first + self.below(last - first + 1)
     }
 
-    /// Returns whether an event of this probability happens.
+    /// Returns `true` with this probability, in percent.
     pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/crates/edge/tests/soak/run.rs
+++ b/crates/edge/tests/soak/run.rs
@@ -1,9 +1,10 @@
-//! One run: a courier, its endpoints, discovery and clients, faults and signals, and the checks afterwards.
+//! One run: a courier with its endpoints, discovery and clients, under faults and signals, and the checks
+//! afterwards.
 
 use crate::agent::{self, NotificationLog};
 use crate::checks::{self, Observations, Report};
 use crate::clients::{self, Submission};
-use crate::courier::{config_file, CourierProcess};
+use crate::courier::{platform_config, CourierProcess};
 use crate::endpoint::{self, CallLog};
 use crate::faults::{pause, FaultPlan};
 use crate::random::Random;
@@ -16,34 +17,39 @@
 
 const ENDPOINTS: u64 = 3;
 const CLIENTS: u64 = 6;
-/// Idle connections of a crowd: more than the courier has descriptors for clients.
-const CROWD: usize = 140;
-/// The platform kills a process this long after SIGTERM at the earliest.
+/// Number of idle connections in a run that exhausts descriptors: more than the courier has for clients.
+const IDLE_CONNECTIONS: usize = 140;
+/// How long after SIGTERM the process is killed. The platform does not kill it earlier.
 const KILL_DELAY: Duration = Duration::from_millis(3700);
-/// What a run waits for at its end, at most.
-const END_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a run waits at its end until all accepted messages are completed.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What happens in a run.
+/// The settings of a run, drawn from its seed.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
     pub seed: u64,
-    pub span: Duration,
+    pub duration: Duration,
     pub faults: FaultPlan,
-    /// Many idle clients occupy the descriptors.
-    pub crowd: bool,
+    /// Whether idle connections use up the descriptors that the courier has for clients.
+    pub exhausts_descriptors: bool,
 }
 
 impl RunSettings {
     pub fn draw(seed: u64, seconds: u64) -> RunSettings {
         let mut random = Random::new(seed, 1);
         let faults = FaultPlan::draw(&mut random);
-        RunSettings { seed, span: Duration::from_secs(seconds), faults, crowd: random.chance(20) }
+        RunSettings {
+            seed,
+            duration: Duration::from_secs(seconds),
+            faults,
+            exhausts_descriptors: random.chance(20),
+        }
     }
 }
 
-/// A time in which the process was being ended or not there.
+/// A period in which the process was shutting down, not running or not yet ready.
 #[derive(Clone, Copy, Debug)]
-pub struct Outage {
+pub struct Downtime {
     pub from: Instant,
     pub until: Instant,
 }
@@ -56,19 +62,20 @@
     let endpoints: Vec<_> =
         (0..ENDPOINTS).map(|number| endpoint::start(seed, number, Arc::clone(&calls))).collect();
     let mut courier = CourierProcess::with_config(&format!("soak-{seed}"), |listen| {
-        let mut config = config_file(listen, &endpoints, discovery);
+        let mut config = platform_config(listen, &endpoints, discovery);
         config["settings"]["contract"]["turn_gap_ns"] = 50_000_000u64.into();
         config
     });
     let stop = AtomicBool::new(false);
     let address = courier.listen;
-    let crowd: Vec<TcpStream> = (0..if settings.crowd { CROWD } else { 0 })
-        .filter_map(|_| TcpStream::connect(address).ok())
-        .collect();
+    let idle_connections: Vec<TcpStream> =
+        (0..if settings.exhausts_descriptors { IDLE_CONNECTIONS } else { 0 })
+            .filter_map(|_| TcpStream::connect(address).ok())
+            .collect();
     let control =
         FaultControl::open(&courier.dir.join("faults"), &courier.dir.join("state")).expect("it exists");
     let mut submissions: Vec<Submission> = Vec::new();
-    let mut outages = Vec::new();
+    let mut downtimes = Vec::new();
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|client| {
@@ -79,26 +86,26 @@
             })
             .collect();
         let injector = scope.spawn(|| settings.faults.inject(Random::new(seed, 2), &control, &stop));
-        // Also if a restart fails: the clients would go on for ever.
+        // Also stops the clients if a restart panics; the scope would wait for them for ever.
         let stopper = StopOnDrop(&stop);
-        disturb(&mut courier, &settings, &stop, &mut outages);
+        signal_and_restart(&mut courier, &settings, &stop, &mut downtimes);
         drop(stopper);
         injector.join().expect("the injector ends");
         for client in clients {
             submissions.extend(client.join().expect("a client ends"));
         }
     });
-    drop(crowd);
-    let exited_unasked = courier.child.try_wait().expect("a child").is_some();
-    if exited_unasked {
+    drop(idle_connections);
+    let exited_unexpectedly = courier.child.try_wait().expect("a child").is_some();
+    if exited_unexpectedly {
         courier.restart();
     }
-    let observations = Observations { submissions, calls, notifications, outages, exited_unasked };
-    checks::wait_for_ends(&observations, END_TIMEOUT);
+    let observations = Observations { submissions, calls, notifications, downtimes, exited_unexpectedly };
+    checks::wait_for_completion(&observations, COMPLETION_TIMEOUT);
     checks::check(&settings, &observations)
 }
 
-/// Ends the clients and the faults of a run when it is dropped.
+/// Stops the clients and the fault injection of a run when it is dropped.
 struct StopOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -107,28 +114,28 @@
     }
 }
 
-/// Signals, kills and restarts the courier until the run is over.
-fn disturb(
+/// Sends signals to the courier, kills and restarts it until the run is over.
+fn signal_and_restart(
     courier: &mut CourierProcess,
     settings: &RunSettings,
     stop: &AtomicBool,
-    outages: &mut Vec<Outage>,
+    downtimes: &mut Vec<Downtime>,
 ) {
     let mut random = Random::new(settings.seed, 3);
-    let until = Instant::now() + settings.span;
+    let until = Instant::now() + settings.duration;
     while Instant::now() < until {
         pause(Duration::from_millis(random.between(200, 1500)), stop);
         match random.below(6) {
             0 => {
                 let from = Instant::now();
                 courier.kill();
-                restart(courier, from, outages);
+                restart(courier, from, downtimes);
             }
             1 => {
                 let from = Instant::now();
                 courier.signal(Signal::TERM);
                 wait_for_exit(courier, from + KILL_DELAY);
-                restart(courier, from, outages);
+                restart(courier, from, downtimes);
             }
             2 => (0..random.between(1, 5)).for_each(|_| courier.signal(Signal::HUP)),
             3 => {
@@ -137,19 +144,19 @@
                 courier.signal(Signal::CONT);
             }
             4 => {
-                // Killed in a write, if one comes soon.
+                // The process is killed in a file write if one comes within 300 ms, and by signal otherwise.
                 let from = Instant::now();
                 courier.faults.set(Fault::KillInFileWrite, 60);
                 wait_for_exit(courier, from + Duration::from_millis(300));
                 courier.faults.set(Fault::KillInFileWrite, 0);
-                restart(courier, from, outages);
+                restart(courier, from, downtimes);
             }
             _ => {}
         }
     }
 }
 
-/// Waits until the process has exited, and kills it at `at`.
+/// Waits until the process has exited, and kills it if it has not by `at`.
 fn wait_for_exit(courier: &mut CourierProcess, at: Instant) {
     while Instant::now() < at {
         if courier.child.try_wait().expect("a child").is_some() {
@@ -160,7 +167,7 @@
     courier.kill();
 }
 
-fn restart(courier: &mut CourierProcess, from: Instant, outages: &mut Vec<Outage>) {
+fn restart(courier: &mut CourierProcess, from: Instant, downtimes: &mut Vec<Downtime>) {
     courier.restart();
-    outages.push(Outage { from, until: Instant::now() });
+    downtimes.push(Downtime { from, until: Instant::now() });
 }
