--- a/crates/edge/tests/soak/endpoint.rs
+++ b/crates/edge/tests/soak/endpoint.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns whether the endpoint executes the message.
+    /// Returns whether the message counts as executed: whenever it was not rejected.
     pub fn executes(self) -> bool {
         !matches!(self, Behaviour::Reject | Behaviour::RejectWithRetryAfter)
     }
