--- a/crates/telemetry/src/counters.rs
+++ b/crates/telemetry/src/counters.rs
@@ -1,4 +1,5 @@
-//! The courier's counts with their totals, and the times at which changes are logged.
+//! The courier's counts with their totals by class, and the times at which changes are appended to the
+//! counter log.
 
 use crate::counts::{CounterKey, CounterLogEntry, CounterStore, Counts, Field};
 use crate::names::SeriesNames;
@@ -7,12 +8,12 @@
 use linnetcart::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Interval of logging changes that no client is notified of.
+/// Minimum time between two writes to the log of changes that no client's answer depends on, in nanoseconds.
 const LOG_INTERVAL: Time = SECOND / 10;
-/// The maximum number of series names is twice the number of cells, but at least twice this.
+/// The maximum number of series names is 2 * max(cells, `MIN_NAMED_CELLS`).
 const MIN_NAMED_CELLS: usize = 1000;
 
-/// The counts and names of an earlier run.
+/// The counts, series names and last timestamp of an earlier run.
 pub(crate) struct RestoredCounts {
     pub(crate) store: CounterStore,
     pub(crate) names: SeriesNames,
@@ -21,19 +22,19 @@
 }
 
 impl RestoredCounts {
-    /// Restores the counts of the saved document and of the logs after it.
-    pub(crate) fn read(found: &RestoredState, classes: Vec<String>, max_cells: usize) -> RestoredCounts {
+    /// Restores the saved snapshot, then replays the counter logs written after it.
+    pub(crate) fn read(stored: &RestoredState, classes: Vec<String>, max_cells: usize) -> RestoredCounts {
         let mut store = CounterStore::new(classes, max_cells);
         let mut names = SeriesNames::new(max_cells.max(MIN_NAMED_CELLS) * 2);
         let mut last_timestamp_s = 0;
-        if let Some(saved) = &found.saved {
+        if let Some(saved) = &stored.saved {
             store.restore(saved);
             for (name, &destination) in &saved.names {
                 names.restore(name.clone(), destination);
             }
             last_timestamp_s = saved.last_timestamp_s;
         }
-        for log in &found.logs {
+        for log in &stored.logs {
             for entry in store.replay(log).entries {
                 match entry {
                     CounterLogEntry::Name(assigned) => names.restore(assigned.name, assigned.destination),
@@ -46,15 +47,15 @@
     }
 }
 
-/// All counts.
+/// All counts, with the totals that reports need.
 #[derive(Debug)]
 pub(crate) struct Counters {
     store: CounterStore,
-    /// Totals over the cells of each class.
+    /// Sums over all destinations, indexed by the number of the class.
     class_totals: Vec<Counts>,
-    /// Cells that changed since they were reported.
+    /// Cells that changed since they were last reported, or were postponed to the next report.
     unreported: BTreeSet<CounterKey>,
-    /// Whether changes must be logged before clients are notified of them.
+    /// Whether this iteration answers clients, so that its changes must be logged without delay.
     must_log: bool,
     last_logged: Time,
 }
@@ -80,9 +81,10 @@
         self.store.cells()
     }
 
+    /// Adds to a count and to the total of its class.
     pub(crate) fn add(&mut self, key: CounterKey, field: Field, increase: u64) {
-        // Increases without a cell are not in the totals either, because the next start computes them from
-        // the cells.
+        // An increase that got no cell is not added to the total either: a restart recomputes totals from the
+        // cells, and a total that included it would fall.
         if !self.store.add(key, field, increase) {
             return;
         }
@@ -93,12 +95,12 @@
         }
     }
 
-    /// Requires that all changes so far are logged before the answers of this iteration are sent.
+    /// Requires that all changes so far are logged before the answers of this iteration are sent to clients.
     pub(crate) fn require_log(&mut self) {
         self.must_log = true;
     }
 
-    /// Logs changes if that is required or the interval has elapsed.
+    /// Logs changes if that is required or [`LOG_INTERVAL`] has elapsed.
     pub(crate) fn log_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.must_log || self.last_logged + LOG_INTERVAL <= now {
             self.log_changes(outputs);
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Logs all changes so far.
+    /// Appends all changes so far to the counter log, as one frame.
     pub(crate) fn log_changes(&mut self, outputs: &mut Vec<Output>) {
         self.must_log = false;
         self.unreported.extend(self.store.changed());
@@ -118,16 +120,17 @@
         std::mem::take(&mut self.unreported)
     }
 
-    /// Postpones a cell to the next report.
+    /// Adds a cell to the next report, because the current one reached its maximum number of points.
     pub(crate) fn postpone(&mut self, key: CounterKey) {
         self.unreported.insert(key);
     }
 
+    /// Returns the total of a class over all destinations.
     pub(crate) fn class_total(&self, class: usize) -> Counts {
         self.class_totals.get(class).copied().unwrap_or_default()
     }
 
-    /// Returns the total over all classes, with the counts of the reports themselves.
+    /// Returns the total over all classes, including the counts about the reports themselves.
     pub(crate) fn courier_total(&self) -> Counts {
         let mut total = Counts::default();
         for class_total in &self.class_totals {
@@ -139,7 +142,7 @@
         total
     }
 
-    /// Returns the total over all classes of a destination.
+    /// Returns the total of a destination over all classes.
     pub(crate) fn destination_total(&self, destination: u32) -> Counts {
         let first = CounterKey::Cell { destination, class: 0 };
         let last = CounterKey::Cell { destination, class: u8::MAX };
--- a/crates/telemetry/src/counts.rs
+++ b/crates/telemetry/src/counts.rs
@@ -1,9 +1,11 @@
-//! Counters that only grow, across restarts as well: messages and attempts of each destination and class and
-//! of each independent route.
+//! Monotonic counters, across restarts as well: messages and attempts of each destination and class and of
+//! each independent route.
 //!
-//! [`CounterStore`] owns the counts in memory. Each change is also encoded as a frame of a log, so that a
-//! crash loses no count that clients were notified of. From time to time all counts are saved in a document,
-//! after which a new log begins. The store never accesses files: its owner does.
+//! A cell holds the counts of one [`CounterKey`], one for each [`Field`]. [`CounterStore`] owns the cells in
+//! memory. Their changes are also encoded as frames of a write-ahead log, so that a crash of the process
+//! loses no count of an answer that a client received; a power loss can lose the end of the log that was not
+//! synced. From time to time all counts are saved in a snapshot ([`Saved`]), after which a new log begins.
+//! The store never accesses files: its owner does.
 
 mod field;
 mod frame;
@@ -21,7 +23,7 @@
 use saved::{CellOwner, SavedCell};
 use std::collections::BTreeMap;
 
-/// The owner of a set of counts.
+/// Identifies a cell, by what its counts belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CounterKey {
     /// Messages and attempts of a destination and class.
@@ -36,11 +38,11 @@
         /// The route's endpoint.
         endpoint: u32,
     },
-    /// The reports themselves.
+    /// The reports themselves: points, receiver connections and host packets.
     Reports,
 }
 
-/// A destination with a class that the settings no longer contain.
+/// Identifies a cell of a class that the settings no longer contain, by the name of the class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RetiredCell {
     destination: u32,
@@ -50,13 +52,16 @@
 /// All counts of a courier.
 #[derive(Clone, Debug, Default)]
 pub struct CounterStore {
+    /// Names of the classes in the settings, indexed by their number.
     classes: Vec<String>,
     cells: BTreeMap<CounterKey, Counts>,
-    /// Counts of classes that the settings no longer contain. They are restored when the class returns.
+    /// Counts of classes that the settings no longer contain. They stay in the snapshot, so that a class that
+    /// returns to the settings continues from them.
     retired: BTreeMap<RetiredCell, Counts>,
-    /// Changes since the last frame.
+    /// Increases since the last frame.
     changes: BTreeMap<CounterKey, Counts>,
     max_cells: usize,
+    /// See [`CounterStore::over_limit`].
     over_limit: u64,
 }
 
@@ -66,8 +71,8 @@
         CounterStore { classes, max_cells, ..CounterStore::default() }
     }
 
-    /// Adds to a count. Returns whether the count of the key changed: false if `increase` is 0, or if the key
-    /// has no cell and the maximum number of cells is reached, see [`CounterStore::over_limit`].
+    /// Adds to a count. Returns whether the count changed: false if `increase` is 0, or if the key has no
+    /// cell and the maximum number of cells is reached; see [`CounterStore::over_limit`].
     pub fn add(&mut self, key: CounterKey, field: Field, increase: u64) -> bool {
         if increase == 0 {
             return false;
@@ -82,7 +87,8 @@
         true
     }
 
-    /// Returns the sum of all increases for keys beyond the maximum number of cells, since the start.
+    /// Returns the sum of all increases that were not counted because the maximum number of cells was
+    /// reached, over all fields and since the start of the process.
     pub fn over_limit(&self) -> u64 {
         self.over_limit
     }
@@ -106,7 +112,7 @@
         Some(log::encode_deltas(&changes))
     }
 
-    /// Returns the document with all counts, the assigned series names and the last timestamp.
+    /// Returns a snapshot of all counts, the assigned series names and the last timestamp.
     pub fn saved(&self, names: &BTreeMap<String, u32>, last_timestamp_s: u64) -> Saved {
         let mut cells = Vec::with_capacity(self.cells.len() + self.retired.len());
         for (&key, counts) in &self.cells {
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Adds the counts of a saved document.
+    /// Adds the counts of a snapshot.
     pub fn restore(&mut self, saved: &Saved) {
         for cell in &saved.cells {
             let Some(owner) = cell.owner() else { continue };
@@ -140,7 +146,7 @@
         }
     }
 
-    /// Returns the counts of an owner, under the class numbers of the current settings.
+    /// Returns the counts of an owner, whose class name is mapped to its number in the current settings.
     fn counts_mut(&mut self, owner: CellOwner<'_>) -> &mut Counts {
         let key = match owner {
             CellOwner::DestinationAndClass { destination, class } => match self.class_number(class) {
--- a/crates/telemetry/src/counts/field.rs
+++ b/crates/telemetry/src/counts/field.rs
@@ -4,9 +4,12 @@
 
 /// A counted quantity.
 ///
-/// The position in [`Field::ALL`] is the field's number in the counter log; the name is part of metric names
-/// and saved documents. Both are stored on disk and by receivers: new fields go to the end, and no field is
+/// The position in [`Field::ALL`] is the field's number in the counter log; [`Field::name`] is part of metric
+/// names and snapshots. Both are stored on disk and by receivers: new fields go to the end, and no field is
 /// renumbered or renamed.
+///
+/// Once every accepted message has its final answer or was cancelled by its client, `WeightOffered` is
+/// `WeightWithinObjective` + `WeightLate` + `WeightLost`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Field {
@@ -18,9 +21,9 @@
     Late,
     /// Messages rejected after being accepted.
     RejectedAfterAccept,
-    /// Messages that failed.
+    /// Messages whose final answer is a failure.
     Failed,
-    /// Messages whose client cancelled.
+    /// Messages cancelled by their client.
     ClientCancelled,
     /// Messages rejected before being accepted.
     RejectedBeforeAccept,
@@ -44,19 +47,19 @@
     ConnectionResets,
     /// Attempts that had no connection or were not sent.
     AttemptsNotSent,
-    /// Priority weight of submitted messages, in thousandths.
+    /// Priority weight of all messages, accepted or rejected, in thousandths.
     WeightOffered,
     /// Priority weight served within the latency objective, in thousandths.
     WeightWithinObjective,
-    /// Priority weight served after the latency objective, in thousandths.
+    /// Priority weight that remained of messages served after the latency objective, in thousandths.
     WeightLate,
-    /// Priority weight not served, in thousandths.
+    /// Priority weight of messages not served, and the weight lost by serving late, in thousandths.
     WeightLost,
-    /// Points of reports dropped because a receiver did not accept them.
+    /// Points dropped from the send buffer because Graphite did not accept them in time.
     PointsDropped,
-    /// Points postponed to a later report because a report reached its maximum number of points.
+    /// Cells postponed to the next report because a report reached its maximum number of points.
     PointsPostponed,
-    /// Connections to a receiver that failed or broke.
+    /// Connections to Graphite that could not be established, broke, or were closed for lack of progress.
     ReceiverConnectionFailures,
     /// Packets of the host's collectd that were rejected.
     PacketsRejected,
@@ -95,7 +98,7 @@
         Field::PacketsRejected,
     ];
 
-    /// Returns the field's name in series and saved documents.
+    /// Returns the field's name in series and snapshots.
     pub fn name(self) -> &'static str {
         match self {
             Field::Accepted => "taken",
--- a/crates/telemetry/src/counts/frame.rs
+++ b/crates/telemetry/src/counts/frame.rs
@@ -1,20 +1,20 @@
-//! Framing of the counter log, and the variable-length numbers within a frame.
+//! Framing of the counter log, and the variable-length numbers within a frame (unsigned LEB128).
 //!
-//! A frame is the length of its body and the CRC-32C of its body, 32 bits each with the least significant
-//! byte first, and then the body.
+//! A frame is the length of its body in bytes and the CRC-32C of its body, both as little-endian `u32`, and
+//! then the body.
 
 /// Size of the length and the checksum before a body.
 pub(super) const HEADER_BYTES: usize = 8;
-/// Maximum length of a body; a longer one is treated as damage.
+/// Maximum length of a body in bytes; a longer one is treated as damage.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Number of value bits in each byte of a variable-length number.
+/// Number of value bits in each byte of a LEB128 number.
 const VARINT_BITS_PER_BYTE: usize = 7;
-/// The value bits of a byte of a variable-length number.
+/// The value bits of a byte of a LEB128 number.
 const VARINT_VALUE_MASK: u8 = 0x7f;
-/// Flag of every byte of a variable-length number except the last.
+/// Continuation bit, set in every byte of a LEB128 number except the last.
 const VARINT_CONTINUES: u8 = 0x80;
 
-/// Returns a frame with this body.
+/// Encodes a body as a frame.
 pub(super) fn encode(body: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend((body.len() as u32).to_le_bytes());
@@ -23,7 +23,7 @@
     frame
 }
 
-/// Returns the body of the frame at this offset, or `None` if the frame is truncated or damaged.
+/// Returns the body of the frame at this byte offset, or `None` if the frame is truncated or damaged.
 pub(super) fn decode(log: &[u8], offset: usize) -> Option<&[u8]> {
     let length = read_u32(log, offset)? as usize;
     let checksum = read_u32(log, offset + 4)?;
@@ -40,7 +40,7 @@
     Some(u32::from_le_bytes(bytes.try_into().ok()?))
 }
 
-/// Appends a variable-length number, the least significant bits first.
+/// Appends a number in LEB128.
 pub(super) fn write_varint(out: &mut Vec<u8>, mut number: u64) {
     while number >= u64::from(VARINT_CONTINUES) {
         out.push(number as u8 | VARINT_CONTINUES);
@@ -49,7 +49,7 @@
     out.push(number as u8);
 }
 
-/// Removes a variable-length number from the front of a body; `None` if it is truncated or too long.
+/// Removes a LEB128 number from the front of a body; `None` if it is truncated or longer than 64 bits need.
 pub(super) fn read_varint(body: &mut &[u8]) -> Option<u64> {
     let mut number = 0u64;
     for shift in (0..u64::BITS).step_by(VARINT_BITS_PER_BYTE) {
--- a/crates/telemetry/src/counts/log.rs
+++ b/crates/telemetry/src/counts/log.rs
@@ -1,26 +1,26 @@
-//! Contents of the frames of the counter log: changes of counts and other entries.
+//! Contents of the frames of the counter log: increases of counts (deltas) and other entries.
 
 use super::frame::{read_varint, write_varint};
 use super::{frame, CounterKey, Counts, Field};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// First byte of a body that holds changes of counts.
+/// First byte of a body that holds deltas.
 pub(super) const DELTAS: u8 = 1;
 /// First byte of a body that holds a [`CounterLogEntry`] as JSON.
 pub(super) const ENTRY: u8 = 2;
 
-/// Kinds of owners of a count, encoded in the two high bits of a delta's first byte.
+/// Kinds of owners of a count, encoded in the two most significant bits of a delta's first byte.
 const DESTINATION_AND_CLASS: u8 = 0;
 const ROUTE: u8 = 1;
 const REPORTS: u8 = 2;
 const OWNER_SHIFT: u32 = 6;
-/// The low bits of a delta's first byte, which hold the number of the field.
+/// The six least significant bits of a delta's first byte, which hold the number of the field.
 const FIELD_MASK: u8 = 0x3f;
 
-/// An entry of the counter log other than changes of counts.
+/// An entry of the counter log other than deltas.
 ///
-/// The serialized names of the variants and the lists in them are stored on disk.
+/// The serialized form is stored on disk: neither the names of the variants nor their contents may change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CounterLogEntry {
     /// The class names that the class numbers in the frames after this entry refer to.
@@ -32,11 +32,11 @@
     Timestamp(u64),
 }
 
-/// The assignment of a series name to a destination; serialized as the list of both.
+/// The assignment of a series name to a destination; serialized as the list `[name, destination]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u32)", into = "(String, u32)")]
 pub struct AssignedSeriesName {
-    /// The name in series.
+    /// The destination's name in series.
     pub name: String,
     /// The destination that owns the name.
     pub destination: u32,
@@ -79,7 +79,7 @@
     pub(super) increase: u64,
 }
 
-/// Encodes changes of counts as a frame of the counter log.
+/// Encodes increases of counts as a frame of the counter log.
 pub(super) fn encode_deltas(changes: &BTreeMap<CounterKey, Counts>) -> Vec<u8> {
     let mut body = vec![DELTAS];
     for (&key, counts) in changes {
@@ -88,7 +88,7 @@
     frame::encode(&body)
 }
 
-/// The owner of a count as a delta encodes it; numbers without a meaning are 0.
+/// The owner of a count as a delta encodes it; a number that the kind does not use is 0.
 struct EncodedOwner {
     kind: u8,
     /// Number of the destination, or of the route's endpoint.
@@ -108,8 +108,8 @@
     }
 }
 
-/// Appends a delta for each field: the kind of the owner with the field, the owner's number and class, the
-/// increase.
+/// Appends a delta for each count that is not zero: the byte `kind << 6 | field`, then the owner's number,
+/// its class and the increase, each in LEB128.
 fn write_deltas(body: &mut Vec<u8>, owner: EncodedOwner, counts: &Counts) {
     for (field, increase) in counts.nonzero() {
         body.push(owner.kind << OWNER_SHIFT | field.number());
@@ -119,7 +119,7 @@
     }
 }
 
-/// Decodes the changes in a body after its first byte; `None` if any of them is damaged.
+/// Decodes the deltas in a body after its first byte; `None` if any of them is invalid.
 pub(super) fn decode_deltas(mut body: &[u8]) -> Option<Vec<Delta>> {
     let mut deltas = Vec::new();
     while let Some((&first, unread)) = body.split_first() {
--- a/crates/telemetry/src/counts/replay.rs
+++ b/crates/telemetry/src/counts/replay.rs
@@ -1,15 +1,15 @@
-//! Replay of a counter log into a store.
+//! Replay of a counter log into a store after a restart.
 
 use super::log::{self, CounterLogEntry, Delta, DeltaOwner};
 use super::saved::CellOwner;
 use super::{frame, CounterStore};
 
-/// The contents of a log that [`CounterStore::replay`] does not add to the counts.
+/// What [`CounterStore::replay`] read from a log besides the counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplayedLog {
-    /// The entries in their order, except [`CounterLogEntry::Classes`].
+    /// The entries in the order of the log, except [`CounterLogEntry::Classes`].
     pub entries: Vec<CounterLogEntry>,
-    /// Length of the complete frames, up to the first that is truncated or damaged.
+    /// Length in bytes of the valid frames, up to the first that is truncated or damaged.
     pub complete_bytes: usize,
 }
 
@@ -17,16 +17,16 @@
 #[derive(Debug)]
 pub(super) struct InvalidFrame;
 
-/// The state of a replay.
+/// The state of a replay besides the counts.
 #[derive(Default)]
 struct Replay {
-    /// The names of the class numbers in the frames that follow.
+    /// Names of the classes by the numbers in the frames that follow, from the last `Classes` entry.
     classes: Vec<String>,
     entries: Vec<CounterLogEntry>,
 }
 
 impl CounterStore {
-    /// Adds the counts of a log: its complete frames up to the first that is truncated or damaged.
+    /// Adds the increases in a log: its frames up to the first that is truncated or damaged.
     pub fn replay(&mut self, log: &[u8]) -> ReplayedLog {
         let mut replay = Replay::default();
         let mut complete_bytes = 0;
@@ -43,13 +43,13 @@
         match body.split_first() {
             Some((&log::DELTAS, deltas)) => self.apply_deltas(&replay.classes, deltas),
             Some((&log::ENTRY, json)) => replay.add_entry(json),
-            // A later version wrote another kind of frame.
+            // Frames of unknown kinds come from later versions and are skipped.
             _ => Ok(()),
         }
     }
 
-    /// Adds the changes in a frame. A frame that cannot be decoded adds nothing; one with a class number that
-    /// the log does not define adds the changes before that number.
+    /// Adds the deltas in a frame. A frame that cannot be decoded adds nothing; one with a class number that
+    /// the log does not define adds the deltas before that number.
     pub(super) fn apply_deltas(&mut self, classes: &[String], body: &[u8]) -> Result<(), InvalidFrame> {
         for Delta { owner, field, increase } in log::decode_deltas(body).ok_or(InvalidFrame)? {
             let owner = cell_owner(owner, classes)?;
--- a/crates/telemetry/src/counts/saved.rs
+++ b/crates/telemetry/src/counts/saved.rs
@@ -1,10 +1,10 @@
-//! The document in which all counts are saved.
+//! The snapshot in which all counts are saved.
 
 use super::{Counts, Field};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All counts, as saved on disk. The serialized names of the fields are stored.
+/// A snapshot of all counts, stored on disk as JSON: the serialized names of the fields must not change.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Saved {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Creates a cell for a class number that the settings never had. [`SavedCell::owner`] returns `None` for
-    /// it.
+    /// Creates a cell for a class number that the settings do not have: with a destination but no class. As
+    /// [`SavedCell::owner`] returns `None` for it, it is not restored.
     pub(super) fn of_unknown_class(destination: u32, counts: &Counts) -> SavedCell {
         SavedCell { destination: Some(destination), ..SavedCell::without_owner(counts) }
     }
@@ -58,7 +58,7 @@
         SavedCell { destination: None, class: None, route: None, counts }
     }
 
-    /// Returns the owner of the counts, or `None` for a combination without a meaning.
+    /// Returns the owner of the counts, or `None` for any other combination of fields.
     pub(super) fn owner(&self) -> Option<CellOwner<'_>> {
         match (self.destination, self.class.as_deref(), self.route) {
             (Some(destination), Some(class), None) => {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,9 +1,10 @@
 //! Reports a courier's metrics to Graphite and collectd.
 //!
 //! [`Telemetry`] consumes the courier's delivery events and clock readings, and returns actions for its
-//! owner; it never accesses a socket, file or clock. Counts only grow, across restarts and crashes as well: a
-//! report is sent once the counter log of its counts is on disk. Points that a receiver does not accept are
-//! dropped, the oldest first, and counted.
+//! owner; it never accesses a socket, file or clock. Counters are monotonic at the receivers, across restarts
+//! and crashes as well: the counter log is a write-ahead log, and a report's counts are sent only after the
+//! log has been synced to disk. Points that Graphite does not accept in time are dropped from a bounded send
+//! buffer, the oldest first, and the dropped points are counted.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
--- a/crates/telemetry/src/names.rs
+++ b/crates/telemetry/src/names.rs
@@ -1,15 +1,15 @@
-//! Names of series: safe for a path, and never assigned to a second destination.
+//! Names of destinations and classes in series: safe for a path, and never assigned to a second owner.
 
 use std::collections::BTreeMap;
 
 #[cfg(test)]
 mod tests;
 
-/// Maximum length of a name; longer names are truncated.
+/// Maximum length of a name in bytes; longer names are truncated.
 const MAX_NAME_BYTES: usize = 60;
 
-/// Converts a name for use in a path. Characters other than letters, digits, `-` and `_` are replaced by the
-/// nearest of these.
+/// Converts a name for use in a path: it is transliterated to ASCII (`Łódź` becomes `Lodz`), then each
+/// character other than a letter, a digit, `-` and `_` is replaced by `_`.
 pub fn safe(name: &str) -> String {
     let ascii = deunicode::deunicode(name);
     let mut safe: String = ascii.trim().chars().map(safe_character).collect();
@@ -26,7 +26,7 @@
     }
 }
 
-/// A name in series with its assignment.
+/// The name of an owner in series.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssignedName {
     /// The name.
@@ -35,8 +35,8 @@
     pub newly_assigned: bool,
 }
 
-/// The owner of each name. A name always stays with its first owner, even if the owner is renamed or removed:
-/// the counts under a name must not fall because the name changes to another destination.
+/// The owner of each name: a destination or a class, by its number. A name stays with its first owner, even
+/// if the owner is renamed or removed: if it changed to another owner, the counts of its series could fall.
 #[derive(Clone, Debug, Default)]
 pub struct SeriesNames {
     owners: BTreeMap<String, u32>,
@@ -59,9 +59,9 @@
         self.owners.entry(name).or_insert(owner);
     }
 
-    /// Returns the name of a destination, and assigns it if necessary. If the wanted name belongs to another
-    /// destination, the number of this one is appended. Without a wanted name, or beyond the maximum number
-    /// of names, the name is the number alone.
+    /// Returns the name of an owner, and assigns it if necessary. The first of these that is available is
+    /// chosen: the wanted name in its [`safe`] form, that name with `-d` and the owner's number, `d` and the
+    /// number alone. The last is always available; at the maximum number of names no other is assigned.
     pub fn assign(&mut self, wanted: Option<&str>, owner: u32) -> AssignedName {
         let number = format!("d{owner}");
         if let Some(wanted) = wanted.map(safe).filter(|name| is_assignable(name)) {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Whether a name can be assigned: numbers are reserved for destinations without another name.
+/// Whether a name can be assigned: `d` and a number is reserved for owners without another name.
 fn is_assignable(name: &str) -> bool {
     !name.is_empty() && !is_destination_number(name)
 }
--- a/crates/telemetry/src/points.rs
+++ b/crates/telemetry/src/points.rs
@@ -1,4 +1,4 @@
-//! Collection of the points of a report.
+//! Collection of the points of a report from the recorded counts and gauges.
 
 use crate::counts::{CounterKey, Counts, Field};
 use crate::recording::Recording;
@@ -11,14 +11,15 @@
 pub(crate) struct PointCollector<'a> {
     pub(crate) recording: &'a mut Recording,
     pub(crate) selection: &'a mut ItemSelection,
+    /// The courier's gauges, read when the report began.
     pub(crate) current: CurrentState,
-    /// Maximum number of points in a report. Beyond it, cells are postponed to the next one.
+    /// Maximum number of points in a report. Once it is reached, cells are postponed to the next report.
     pub(crate) max_points: usize,
     pub(crate) outputs: &'a mut Vec<Output>,
 }
 
 impl PointCollector<'_> {
-    /// Collects the next slice of the current part.
+    /// Collects items until the slice or the part has its number of points, or no item is left.
     pub(crate) fn collect_slice(&mut self, report: &mut Report) {
         let mut points = Vec::new();
         while points.len() < SLICE_POINTS && report.part.len() + points.len() < PART_POINTS {
@@ -34,6 +35,7 @@
         report.part.extend(points);
     }
 
+    /// Collects the points of an item. `seconds` is the length of the report interval, by which rates divide.
     fn collect(&mut self, item: ReportItem, seconds: f64, points: &mut Vec<Point>) {
         match item {
             ReportItem::Courier => self.courier(points),
@@ -45,6 +47,8 @@
         }
     }
 
+    /// Postpones a cell to the next report and counts it. The total of a destination is not postponed by
+    /// itself, because it is collected again with its cells.
     fn postpone(&mut self, item: ReportItem) {
         if let ReportItem::Cell(key) = item {
             self.recording.counters.postpone(key);
@@ -112,7 +116,7 @@
                 let Some(destination) = self.recording.limits.route_destination(endpoint) else { return };
                 self.route_subject(destination, endpoint)
             }
-            // The counts of the reports are part of the courier's counts.
+            // The courier's points include the counts about the reports.
             CounterKey::Reports => return,
         };
         push_counts(points, &subject, &counts);
@@ -127,12 +131,13 @@
     }
 }
 
-/// Whether an item can be postponed to a later report: counts can, gauges cannot.
+/// Whether an item can be postponed to a later report: cumulative counts can, because the next value includes
+/// the skipped one; gauges cannot, because they cover one interval only.
 fn is_postponable(item: ReportItem) -> bool {
     matches!(item, ReportItem::DestinationTotal(_) | ReportItem::Cell(_))
 }
 
-/// Appends the counts that are not zero: a series begins when there is something to count.
+/// Appends a point for each count that is not zero: a series begins with its first counted event.
 fn push_counts(points: &mut Vec<Point>, subject: &SeriesSubject, counts: &Counts) {
     for (field, count) in counts.nonzero() {
         points.push(Point::new(subject.clone(), field.name(), PointValue::Counter(count)));
--- a/crates/telemetry/src/recording.rs
+++ b/crates/telemetry/src/recording.rs
@@ -1,4 +1,4 @@
-//! Recording of delivery events in counts, latencies and the state of limits.
+//! Recording of delivery events in counts, latency histograms and the observed state of limits.
 
 use crate::classes::ClassTable;
 use crate::counters::{Counters, RestoredCounts};
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-/// All state that delivery events change. Counts are permanent; everything else is current state.
+/// All state that delivery events change. Counts and series names survive a restart; the rest does not.
 #[derive(Debug)]
 pub(crate) struct Recording {
     pub(crate) counters: Counters,
@@ -23,7 +23,7 @@
     pub(crate) names: DestinationNames,
 }
 
-/// The owners of the counts of an attempt.
+/// Identifies the cells and limits for which an attempt counts.
 #[derive(Clone, Copy, Debug)]
 struct AttemptKey {
     class: u8,
@@ -43,11 +43,12 @@
         }
     }
 
-    /// Returns the document with all counts, names and the last timestamp.
+    /// Returns a snapshot of all counts and series names, with the last timestamp of a report.
     pub(crate) fn saved(&self, last_timestamp_s: u64) -> Saved {
         self.counters.store().saved(self.names.owners(), last_timestamp_s)
     }
 
+    /// Records a delivery event.
     pub(crate) fn record(&mut self, event: &DeliveryEvent, outputs: &mut Vec<Output>) {
         match *event {
             DeliveryEvent::Accepted { class, destination, .. } => self.accepted(class, destination),
@@ -108,6 +109,8 @@
         }
     }
 
+    /// Records that a message was served. Of its full weight, the part that remains at this latency counts as
+    /// within the objective or late, and the difference as lost.
     fn served(&mut self, class: u8, key: CounterKey, elapsed: Time) {
         let full_weight = self.classes.weight_milli(class);
         let weight = self.classes.weight_milli_after(class, elapsed);
@@ -155,7 +158,8 @@
         }
     }
 
-    /// Adds to the counts of the destination and class, and of the route if it is independent.
+    /// Adds to the counts of the destination and class and, if the endpoint is an independent route, to those
+    /// of the route.
     fn add_for_attempt(&mut self, key: AttemptKey, field: Field, increase: u64) {
         self.counters.add(
             CounterKey::Cell { destination: key.destination, class: key.class },
@@ -167,6 +171,7 @@
         }
     }
 
+    /// Queues a notification if the state of the destination or route changes.
     fn limit_changed(
         &mut self,
         destination: u32,
@@ -181,6 +186,7 @@
     }
 }
 
+/// Returns the field that counts attempts with this outcome.
 fn outcome_field(outcome: AttemptOutcome) -> Field {
     match outcome {
         AttemptOutcome::Served => Field::AttemptsServed,
--- a/crates/telemetry/src/schedule.rs
+++ b/crates/telemetry/src/schedule.rs
@@ -6,15 +6,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval between two slices, so that they fit into a socket's buffer and delay no message for long.
+/// Interval between two slices of a report, in nanoseconds. Spreading the slices keeps them within a socket's
+/// buffer and delays no message for long.
 const SLICE_INTERVAL: Time = SECOND / 1000;
 
-/// The due times of reports and slices.
+/// The due times of reports and slices, on the monotonic clock.
 #[derive(Debug)]
 pub(crate) struct ReportSchedule {
-    /// Interval between two reports.
+    /// Interval between two reports, in nanoseconds.
     interval: Time,
     next_report: Time,
+    /// When the last report began; at first, when the schedule was created.
     last_report: Time,
     next_slice: Time,
 }
@@ -26,7 +28,7 @@
         ReportSchedule { interval, next_report: now + first_delay, last_report: now, next_slice: now }
     }
 
-    /// Changes the interval.
+    /// Changes the interval. A shorter one brings the next report forward; a longer one does not delay it.
     pub(crate) fn configure(&mut self, interval: Time, now: Time) {
         self.interval = interval;
         self.next_report = self.next_report.min(now + interval);
@@ -45,8 +47,8 @@
         self.next_slice
     }
 
-    /// Returns whether a report is due. If so, the next one is scheduled an interval after this one was due,
-    /// but at least half an interval from now.
+    /// Returns whether a report is due. If so, the next one is scheduled at max(due time + interval, now +
+    /// interval / 2), so that late reports neither shift the schedule nor follow each other at once.
     pub(crate) fn take_due_report(&mut self, now: Time) -> bool {
         if self.next_report > now {
             return false;
@@ -55,7 +57,8 @@
         true
     }
 
-    /// Begins a report and makes its first slice due. Returns the seconds since the last report.
+    /// Begins a report and makes its first slice due. Returns the seconds since the last report began; they
+    /// are more than 0, because rates divide by them.
     pub(crate) fn begin_report(&mut self, now: Time) -> f64 {
         let elapsed = (now - self.last_report).max(1);
         self.last_report = now;
@@ -63,7 +66,7 @@
         as_seconds(elapsed)
     }
 
-    /// Returns whether a slice is due. If so, the next one is scheduled after the slice interval.
+    /// Returns whether a slice is due. If so, the next one is scheduled [`SLICE_INTERVAL`] from now.
     pub(crate) fn take_due_slice(&mut self, now: Time) -> bool {
         if self.next_slice > now {
             return false;
--- a/crates/telemetry/src/selection.rs
+++ b/crates/telemetry/src/selection.rs
@@ -1,4 +1,4 @@
-//! Selection of the items of a report.
+//! Selection of the items of a report: what changed, and a round robin over what did not.
 
 use crate::counts::CounterKey;
 use crate::recording::Recording;
@@ -9,25 +9,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of reports in which every unchanged cell is reported once.
+/// Number of reports over which the round robin selects every cell once, whether or not it changes.
 const REPORTS_PER_REFRESH: usize = 30;
 
-/// Selects the items of reports: all current state, the cells that changed, and some of the unchanged cells
-/// in turn.
+/// Selects the items of reports: all gauges, the cells that changed, and in round robin 1 /
+/// [`REPORTS_PER_REFRESH`] of all cells.
 #[derive(Debug, Default)]
 pub(crate) struct ItemSelection {
-    /// The last cell that was selected as one of the unchanged cells.
+    /// Position of the round robin: the last cell that it selected; `None` to begin with the first.
     refreshed_up_to: Option<CounterKey>,
-    /// The first cell that was postponed because a report reached its maximum number of points.
+    /// The first cell that the last report postponed because it reached its maximum number of points.
     first_postponed: Option<CounterKey>,
 }
 
 impl ItemSelection {
-    /// Records that a cell was postponed.
+    /// Records that a cell was postponed. The cells of the next report begin with the first one recorded.
     pub(crate) fn postponed(&mut self, key: CounterKey) {
         self.first_postponed.get_or_insert(key);
     }
 
+    /// Returns the items of the next report, gauges first.
     pub(crate) fn select(&mut self, recording: &mut Recording) -> VecDeque<ReportItem> {
         let mut items = VecDeque::from([ReportItem::Courier]);
         items.extend((0..recording.classes.len()).map(ReportItem::Class));
@@ -39,7 +40,8 @@
         items
     }
 
-    /// Returns the next cells to report whether or not they changed.
+    /// Advances the round robin: returns the next ceil(cells / [`REPORTS_PER_REFRESH`]) cells. At the end of
+    /// the order there are fewer, and the next call begins with the first cell.
     fn next_to_refresh(&mut self, recording: &Recording) -> Vec<CounterKey> {
         let cells = recording.counters.cells();
         let count = cells.len().div_ceil(REPORTS_PER_REFRESH);
@@ -51,8 +53,8 @@
         keys
     }
 
-    /// Appends cells in their order, starting with the first that was postponed. The total of a destination
-    /// precedes its cells.
+    /// Appends cells in the order of their keys, rotated to begin with the first that was postponed, so that
+    /// the same cells are not postponed by every report. The total of a destination precedes its cells.
     fn push_cells(&mut self, cells: BTreeSet<CounterKey>, items: &mut VecDeque<ReportItem>) {
         let first = self.first_postponed.take().unwrap_or(CounterKey::Cell { destination: 0, class: 0 });
         let mut last_destination = None;
--- a/crates/telemetry/src/series.rs
+++ b/crates/telemetry/src/series.rs
@@ -1,8 +1,9 @@
-//! Points of series: the contents of a report, independent of the format of a receiver.
+//! Points of time series: the contents of a report, independent of the format of a receiver.
 
 use std::fmt;
 
-/// Subject of a series. Names are safe for paths.
+/// What a series measures: the courier or a part of its traffic. Names are safe for paths, see
+/// [`crate::names::safe`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SeriesSubject {
     /// The courier.
@@ -30,11 +31,11 @@
 /// The value of a point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PointValue {
-    /// A count that only grows, across restarts as well.
+    /// A monotonic count, across restarts as well.
     Counter(u64),
-    /// A current value, or a value over the last interval.
+    /// A current value, or a rate or fraction over the last report interval.
     Gauge(f64),
-    /// A duration over the last interval, in milliseconds.
+    /// A percentile of latencies in the last report interval, in milliseconds.
     Milliseconds(f64),
 }
 
@@ -67,7 +68,7 @@
 pub struct Point {
     /// Subject of the series.
     pub subject: SeriesSubject,
-    /// Last part of the series name.
+    /// The measured quantity; in paths the last part of the series name.
     pub metric: &'static str,
     /// The value.
     pub value: PointValue,
--- a/crates/telemetry/src/stream.rs
+++ b/crates/telemetry/src/stream.rs
@@ -1,7 +1,7 @@
-//! A stream of reports as a receiver sees it: the last value of each series, and counts that fell.
+//! A stream of reports as a receiver sees it: the last value of each series, and violations of monotonicity.
 //!
-//! Receivers in tests and tools use this module; the courier does not. A courier may be hostile to a
-//! receiver, so everything that is stored is bounded.
+//! Receivers in tests and tools use this module; the courier does not. The sender is not trusted, so this
+//! module bounds the series, the recorded regressions and the length of a frame.
 
 use crate::counts::Field;
 use crate::graphite::{self, NamedPoint};
@@ -10,11 +10,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum length of a pickled list. A connection that announces a longer one is unreadable.
+/// Maximum length of a pickled list in bytes. A connection that announces a longer one must be closed.
 const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Size of the length before a pickled list.
+/// Size of the big-endian length before a pickled list.
 const FRAME_LENGTH_BYTES: usize = 4;
-/// Maximum number of series; points of further series are only counted.
+/// Maximum number of stored series; points of further series are only counted.
 const MAX_SERIES: usize = 1_000_000;
 /// Maximum number of recorded regressions.
 const MAX_REGRESSIONS: usize = 100;
@@ -24,32 +24,32 @@
 pub struct Stream {
     /// The last value of each series.
     pub series: BTreeMap<String, SeriesValue>,
-    /// Descriptions of counts that fell and of times that went back; the first hundred.
+    /// Descriptions of counts that fell and of timestamps that went back; the first [`MAX_REGRESSIONS`].
     pub regressions: Vec<String>,
-    /// Number of points.
+    /// Number of points received.
     pub points: u64,
-    /// Number of bytes.
+    /// Number of bytes received; maintained by the receiver.
     pub bytes: u64,
-    /// Notifications from collectd.
+    /// Notifications received in collectd's protocol; appended by the receiver.
     pub notifications: Vec<ReceivedNotification>,
     /// Number of items that could not be decoded.
     pub invalid_items: u64,
     /// Why the last invalid item could not be decoded.
     pub last_error: Option<String>,
-    /// Number of points of series beyond the maximum number of series.
+    /// Number of points that were not stored because of the maximum number of series.
     pub points_over_limit: u64,
 }
 
-/// A value of a series.
+/// The value of a series at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SeriesValue {
-    /// Seconds since 1970.
+    /// Timestamp of the point, in seconds since 1970.
     pub time_s: u64,
     /// The value.
     pub value: f64,
 }
 
-/// A notification from collectd.
+/// A notification received in collectd's protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedNotification {
     /// What the notification is about.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// A frame announces more than a receiver accepts.
-    #[error("a frame of {bytes} bytes")]
+    #[error("a frame of {bytes} bytes is longer than {MAX_FRAME_BYTES} bytes")]
     FrameTooLong {
         /// The announced length.
         bytes: usize,
@@ -72,8 +72,8 @@
     /// A frame does not hold a pickled list of points.
     #[error("a frame that is no pickled list")]
     InvalidFrame,
-    /// A line is not a point.
-    #[error("a line that is no point: {line:.80}")]
+    /// A line is not a point of the plaintext format.
+    #[error("not a plaintext point: {line:.80}")]
     InvalidLine {
         /// The line.
         line: String,
@@ -85,23 +85,23 @@
     /// Decoded points.
     Points {
         points: Vec<NamedPoint>,
-        /// Length of the item.
+        /// Length of the encoded item.
         bytes: usize,
     },
     /// An item that could not be decoded.
     Invalid {
         error: StreamError,
-        /// Length of the item.
+        /// Length of the encoded item, which is skipped.
         bytes: usize,
     },
     /// More bytes are needed.
     Incomplete,
-    /// Nothing after this can be decoded.
+    /// The end of the item is unknown, so nothing after its beginning can be decoded.
     Unreadable(StreamError),
 }
 
 impl Stream {
-    /// Records a point, and a regression if it goes back in time or its count falls.
+    /// Records a point, and a regression if its timestamp goes back or, for a counter, its value falls.
     pub fn record_point(&mut self, name: &str, value: f64, time_s: u64) {
         self.points += 1;
         if self.series.len() >= MAX_SERIES && !self.series.contains_key(name) {
@@ -133,7 +133,7 @@
 
     /// Removes complete lines and frames from the received bytes of a connection, records their points and
     /// passes each to `on_point`. Returns false if the connection must be closed, because nothing more can be
-    /// decoded.
+    /// decoded or an incomplete line is longer than any frame.
     #[must_use]
     pub fn consume(&mut self, received: &mut Vec<u8>, mut on_point: impl FnMut(&NamedPoint)) -> bool {
         let mut offset = 0;
@@ -162,14 +162,15 @@
     }
 }
 
-/// Whether the values of a series only grow: the last part of its name, before any tags, is a counted field.
+/// Whether a series is a counter: the last part of its name, before any tags, is the name of a [`Field`].
 fn is_counter(name: &str) -> bool {
     let path = name.split(';').next().unwrap_or(name);
     let metric = path.rsplit('.').next().unwrap_or(path);
     Field::from_name(metric).is_some()
 }
 
-/// Decodes the first item. A frame begins with its length, whose first byte is zero; a line does not.
+/// Decodes the first item. A frame begins with its big-endian length, whose first byte is zero because of
+/// [`MAX_FRAME_BYTES`]; a line does not begin with a zero byte.
 fn next_item(bytes: &[u8]) -> Item {
     match bytes.first() {
         None => Item::Incomplete,
--- a/crates/telemetry/src/stream/tests.rs
+++ b/crates/telemetry/src/stream/tests.rs
@@ -21,7 +21,7 @@
     let consumed = consume(&mut stream, b"a.slots 1 10\nnonsense\na.slots 2 20\na.sl");
     assert_eq!(consumed, Consumed { is_readable: true, unread: b"a.sl".to_vec(), points: 2 });
     assert_eq!((stream.value("a.slots"), stream.points, stream.invalid_items), (Some(2.0), 2, 1));
-    assert_eq!(stream.last_error.as_deref(), Some("a line that is no point: nonsense"));
+    assert_eq!(stream.last_error.as_deref(), Some("not a plaintext point: nonsense"));
 }
 
 #[test]
@@ -32,7 +32,8 @@
     assert_eq!(stream.last_error.as_deref(), Some("a frame that is no pickled list"));
     let too_long = consume(&mut stream, b"\0\xff\xff\xff");
     assert!(!too_long.is_readable);
-    assert_eq!((stream.invalid_items, stream.last_error.as_deref()), (2, Some("a frame of 16777215 bytes")));
+    let expected = "a frame of 16777215 bytes is longer than 4194304 bytes";
+    assert_eq!((stream.invalid_items, stream.last_error.as_deref()), (2, Some(expected)));
 }
 
 #[test]
--- a/crates/telemetry/src/telemetry.rs
+++ b/crates/telemetry/src/telemetry.rs
@@ -1,6 +1,8 @@
-//! The reporting of a courier: its parts, and the order of the steps in one iteration of the event loop.
+//! The metrics reporting of a courier: its components, and the order of their steps in one iteration of the
+//! event loop.
 //!
 //! [`Telemetry`] owns all state of the reporting. It never performs I/O; it returns actions as [`Output`]s.
+//! `now` is a reading of the monotonic clock, `wall` one of the wall clock since 1970, both in nanoseconds.
 
 mod report_cycle;
 
@@ -26,7 +28,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The reporting of one courier.
+/// The metrics reporting of one courier: counting, reports, and the connections to their receivers.
 #[derive(Debug)]
 pub struct Telemetry {
     settings: Settings,
@@ -38,28 +40,30 @@
     timestamps: Timestamps,
     receivers: Receivers,
     host: HostListener,
-    /// The current values for the report in progress.
+    /// The courier's gauges, read when the report in progress began.
     current: CurrentState,
     report_statistics: ReportStatistics,
     outputs: Vec<Output>,
 }
 
-/// Statistics of reports for the status page.
+/// Statistics of the reports of this process, for the status page.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportStatistics {
+    /// Number of reports begun.
     count: u64,
-    /// Number of points of the last report so far.
+    /// Number of points collected so far for the last report begun.
     last_points: usize,
-    /// How far the last timestamp was ahead of the wall clock, in seconds.
+    /// How far the timestamp of the last report was ahead of the wall clock, in seconds.
     timestamps_ahead_s: f64,
 }
 
 impl Telemetry {
-    /// Creates the reporting with the stored state of an earlier run. Nothing is reported while the settings
-    /// have no receivers.
-    pub fn new(courier: CourierInfo, found: RestoredState, settings: Settings, now: Time) -> Telemetry {
+    /// Creates the reporting with the stored state of an earlier run. The first report is due after a random
+    /// delay, uniform in 0..interval, so that couriers that start together report at different times. Nothing
+    /// is reported while the settings have no receivers, but counting continues.
+    pub fn new(courier: CourierInfo, stored: RestoredState, settings: Settings, now: Time) -> Telemetry {
         let class_names = courier.classes.iter().map(|class| class.name.clone()).collect();
-        let restored = RestoredCounts::read(&found, class_names, settings.cells);
+        let restored = RestoredCounts::read(&stored, class_names, settings.cells);
         let timestamps = Timestamps::new(restored.last_timestamp_s * SECOND, now);
         let source =
             MetricSource { deployment: names::safe(&courier.deployment), courier: courier.courier_index };
@@ -84,13 +88,13 @@
         telemetry
     }
 
-    /// Returns the document with all counts. Later changes belong in a new log, which begins with
-    /// [`Telemetry::log_header`].
+    /// Returns a snapshot of all counts, which replaces the counter logs so far. Later changes belong in a
+    /// new log, which begins with [`Telemetry::log_header`].
     pub fn saved(&self) -> Saved {
         self.recording.saved(self.timestamps.last() / SECOND)
     }
 
-    /// Returns the first frame of a new log.
+    /// Returns the first frame of a new counter log: the class names that class numbers in it refer to.
     pub fn log_header(&self) -> Vec<u8> {
         encode_entry(&CounterLogEntry::Classes(self.recording.classes.names()))
     }
@@ -100,7 +104,8 @@
         &self.settings
     }
 
-    /// Applies new settings. The buffer of a receiver that does not change is retained.
+    /// Applies new settings. If those of the Graphite receiver are unchanged, its connection and send buffer
+    /// are retained.
     pub fn configure(&mut self, settings: Settings, now: Time) {
         self.receivers.configure(&settings, &mut self.outputs);
         self.host.configure(settings.listen.as_ref());
@@ -109,7 +114,8 @@
         self.settings = settings;
     }
 
-    /// Replaces the endpoint list.
+    /// Replaces the endpoint list. The observed limits of destinations and routes that it no longer contains
+    /// are discarded; their counts are retained.
     pub fn set_endpoints(&mut self, endpoints: impl Iterator<Item = ListedEndpoint>) {
         self.recording.limits.set_endpoints(endpoints);
     }
@@ -119,8 +125,9 @@
         self.recording.record(event, &mut self.outputs);
     }
 
-    /// Performs one iteration of the event loop: logs the counts so far, and collects and sends reports that
-    /// are due. `current` is called when a report begins.
+    /// Performs one iteration of the event loop: appends changes of counts to the log, begins a report if one
+    /// is due, advances the report in progress by a slice, and sends what receivers accept. `current` is
+    /// called when a report begins.
     pub fn process(&mut self, now: Time, wall: Time, current: impl FnOnce() -> CurrentState) {
         self.count_losses();
         self.recording.counters.log_if_due(now, &mut self.outputs);
@@ -136,17 +143,18 @@
         self.receivers.poll(now, &mut self.outputs);
     }
 
-    /// Makes a report due at once, before the process ends.
+    /// Makes a report due at once, so that the final counts are sent before the process ends.
     pub fn report_now(&mut self, now: Time) {
         self.schedule.report_now(now);
     }
 
-    /// Whether no report is in progress and no bytes wait for a connected receiver.
+    /// Whether no report is in progress and no bytes wait for a connected receiver. Bytes for a receiver that
+    /// is not connected do not count, so that a shutdown does not wait for it.
     pub fn is_idle(&self) -> bool {
         self.report.is_none() && self.receivers.is_idle()
     }
 
-    /// Returns the time at which [`Telemetry::process`] must be called next if nothing happens before.
+    /// Returns the time at which [`Telemetry::process`] must be called next if no event occurs before.
     pub fn next_wakeup(&self) -> Time {
         let mut wakeup = self.schedule.next_report();
         if let Some(connection_wakeup) = self.receivers.connection().and_then(ReceiverConnection::next_wakeup)
@@ -164,8 +172,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles the result of a sync. The part of a report that waits for it is sent with its counts, or
-    /// without them if the sync failed.
+    /// Handles the result of the sync with this number. The part of a report that waits for it is sent with
+    /// its counts, or without them if the sync failed. The result of any other sync is ignored.
     pub fn synced(&mut self, number: u64, result: Result<(), SyncError>) {
         let Some(report) = &mut self.report else { return };
         if !report.waits_for_sync(number) {
@@ -195,7 +203,8 @@
         }
     }
 
-    /// Handles that the system has written `bytes` bytes since the connection to Graphite was established.
+    /// Handles that the system has written `bytes` bytes in total since the connection to Graphite was
+    /// established.
     pub fn acknowledged(&mut self, now: Time, bytes: u64) {
         if let Some(connection) = self.receivers.connection_mut() {
             connection.written(now, bytes);
@@ -207,7 +216,7 @@
         self.host.packet_received(packet, now, wall, &mut self.outputs);
     }
 
-    /// Returns the status of the reporting.
+    /// Returns the status of the reporting, for the status page.
     pub fn status(&self, now: Time) -> Status {
         let store = self.recording.counters.store();
         let connection = self.receivers.connection();
@@ -225,7 +234,7 @@
         }
     }
 
-    /// Returns all counts by their owner.
+    /// Returns all counts, by what they belong to.
     pub fn counts(&self) -> &BTreeMap<CounterKey, Counts> {
         self.recording.counters.cells()
     }
--- a/crates/telemetry/src/telemetry/report_cycle.rs
+++ b/crates/telemetry/src/telemetry/report_cycle.rs
@@ -1,4 +1,5 @@
-//! The cycle of a report: collecting points, syncing the counter log, sending.
+//! The cycle of a report: for each part, points are collected, the counter log is synced, and the points are
+//! sent.
 
 use super::Telemetry;
 use crate::counts::{encode_entry, CounterKey, CounterLogEntry, Field};
@@ -9,12 +10,12 @@
 use crate::{LogEvent, Output, SyncError};
 use linnetcart::Time;
 
-/// Maximum duration of a sync; after it, a part of a report is sent without its counts.
+/// Maximum duration of a sync of the counter log; after it, a part of a report is sent without its counts.
 const SYNC_TIMEOUT: Time = 20 * SECOND;
 
 impl Telemetry {
-    /// Counts points that were lost, connections that failed and packets that were rejected since the last
-    /// call.
+    /// Adds to the counts of the reports: points dropped, connections failed and host packets rejected since
+    /// the last call.
     pub(super) fn count_losses(&mut self) {
         let losses = self.receivers.take_losses();
         let rejections = self.host.take_rejections();
@@ -24,6 +25,7 @@
         counters.add(CounterKey::Reports, Field::PacketsRejected, rejections);
     }
 
+    /// Begins a report: fixes its timestamp and its items.
     pub(super) fn begin_report(&mut self, now: Time, wall: Time) {
         let Timestamp { time: timestamp, ahead } = self.timestamps.next(now, wall);
         let was_ahead = self.report_statistics.timestamps_ahead_s > 0.0;
@@ -33,7 +35,7 @@
         }
         self.report_statistics.timestamps_ahead_s = as_seconds(ahead);
         self.report_statistics.count += 1;
-        // Logged so that no timestamp is used again after a restart.
+        // The timestamp is logged so that a restarted courier continues after it.
         let entry = CounterLogEntry::Timestamp(timestamp / SECOND);
         self.outputs.push(Output::Append(encode_entry(&entry)));
         self.recording.counters.log_changes(&mut self.outputs);
@@ -42,7 +44,8 @@
         self.report = Some(Report::new(timestamp, seconds, items));
     }
 
-    /// Processes the next slice of the report in progress.
+    /// Processes the next slice of the report in progress. While the log is being synced, only the timeout is
+    /// checked.
     pub(super) fn advance_report(&mut self, now: Time) {
         let Some(mut report) = self.report.take() else { return };
         match report.phase {
@@ -79,13 +82,14 @@
         collector.collect_slice(report);
         self.report_statistics.last_points = report.points_collected;
         if report.is_part_complete() {
-            // The counts of the part must be in the log before the sync.
+            // The changes behind the part's counts must be appended before the sync that covers them.
             self.recording.counters.log_changes(&mut self.outputs);
             let number = self.counter_sync.request(&mut self.outputs);
             report.phase = ReportPhase::Syncing { number, since: now };
         }
     }
 
+    /// Sends queued notifications with the wall-clock time, but not earlier than the last report's timestamp.
     pub(super) fn send_notifications(&mut self, wall: Time) {
         let timestamp = self.timestamps.last().max(wall);
         for notification in self.recording.notifications.take() {
