--- a/crates/telemetry/src/collectd.rs
+++ b/crates/telemetry/src/collectd.rs
@@ -1,8 +1,8 @@
-//! collectd's binary protocol: packets of typed parts, which are plain, signed or encrypted.
+//! collectd's binary network protocol: packets of type-length-value parts, plain, signed or encrypted.
 //!
-//! A part consists of its type, its length including these four bytes (both 16 bits, most significant byte
-//! first) and its content. Strings end with a zero byte. A part applies to all items after it until another
-//! part of its type. This module encodes and decodes packets; it never sends or receives them.
+//! A part consists of its type, its length including these four bytes (both big-endian `u16`) and its
+//! content. Strings end with a zero byte. A part applies to all items after it until another part of its
+//! type. This module encodes and decodes packets; it never sends or receives them.
 
 mod decode;
 mod encode;
@@ -16,14 +16,14 @@
 
 /// Size of the type and the length of a part.
 const PART_HEADER_BYTES: usize = 4;
-/// Maximum length of an encoded string, including its zero byte.
+/// Maximum length of an encoded string in bytes, including its zero byte.
 const MAX_NAME_BYTES: usize = 128;
-/// The low bits of a time that hold fractions of a second.
+/// Number of fractional bits of a high-resolution time, a fixed-point number in units of 2^-30 seconds.
 const TIME_FRACTION_BITS: u32 = 30;
 const TIME_FRACTION_MASK: u64 = (1 << TIME_FRACTION_BITS) - 1;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// Types of parts.
+/// Types of parts, as numbered by the protocol.
 mod part_type {
     pub const HOST: u16 = 0x0000;
     pub const TIME: u16 = 0x0001;
@@ -41,7 +41,7 @@
     pub const ENCRYPTION: u16 = 0x0210;
 }
 
-/// Types of values within a part of values.
+/// Types of values within a part of type `VALUES`, as numbered by the protocol.
 mod value_type {
     pub const COUNTER: u8 = 0;
     pub const GAUGE: u8 = 1;
@@ -49,14 +49,14 @@
     pub const ABSOLUTE: u8 = 3;
 }
 
-/// A value with its type.
+/// A value with its type (collectd's data source type).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MetricValue {
     /// A counter that grows and wraps around.
     Counter(u64),
     /// A current value.
     Gauge(f64),
-    /// A value whose rate of change is of interest.
+    /// A running total, of which receivers store the rate of change. It may decrease and does not wrap.
     Derive(i64),
     /// A count since the last report.
     Absolute(u64),
@@ -73,22 +73,22 @@
     }
 }
 
-/// Subject and time of a list of values or of a notification.
+/// Identifier and time of a list of values or of a notification.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ItemHeader {
     /// Name of the host.
     pub host: String,
-    /// Time in units of 2^-30 seconds since 1970.
+    /// Timestamp, in units of 2^-30 seconds since 1970.
     pub time: u64,
     /// Interval between two reports, in the same units.
     pub interval: u64,
     /// Name of the plugin.
     pub plugin: String,
-    /// Instance of the plugin.
+    /// Instance of the plugin, such as the name of an interface.
     pub plugin_instance: String,
     /// Type of the values, as defined in `types.db`.
     pub type_name: String,
-    /// Instance of the type.
+    /// Instance of the type, which distinguishes values of one type.
     pub type_instance: String,
 }
 
@@ -97,14 +97,14 @@
 pub enum PacketItem {
     /// A list of values.
     Values {
-        /// Subject and time of the values.
+        /// Identifier and time of the values.
         header: ItemHeader,
         /// The values.
         values: Vec<MetricValue>,
     },
     /// A notification.
     Notification {
-        /// Subject and time of the notification.
+        /// Identifier and time of the notification.
         header: ItemHeader,
         /// The severity as sent; see [`Severity`] for the values of the protocol.
         severity: u64,
@@ -117,31 +117,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
     /// A part is truncated, or its length is invalid.
-    #[error("at byte {offset}: a part's length cannot be")]
+    #[error("invalid length of the part at byte {offset}")]
     InvalidLength {
         /// Offset of the part in the packet.
         offset: usize,
     },
     /// The content of a part is invalid.
-    #[error("at byte {offset}: what the part holds cannot be")]
+    #[error("invalid content of the part at byte {offset}")]
     InvalidContent {
         /// Offset of the part in the packet.
         offset: usize,
     },
     /// A signature or an encrypted part is at a position where it is not allowed.
-    #[error("at byte {offset}: parts are nested wrongly")]
+    #[error("signature or encrypted part not allowed at byte {offset}")]
     MisplacedSecurity {
         /// Offset of the part in the packet.
         offset: usize,
     },
     /// The signature or the checksum does not match.
-    #[error("signature, sum or key of user `{user}` is wrong")]
+    #[error("wrong signature, checksum or key of user `{user}`")]
     NotAuthentic {
         /// The user named in the packet.
         user: String,
     },
     /// No key is configured for the user.
-    #[error("no key is set for user `{user}`")]
+    #[error("no key configured for user `{user}`")]
     UnknownUser {
         /// The user named in the packet.
         user: String,
@@ -151,14 +151,14 @@
     InsufficientSecurity,
 }
 
-/// Converts nanoseconds to collectd's units of 2^-30 seconds.
+/// Converts nanoseconds to collectd's high-resolution time in units of 2^-30 seconds, rounding down.
 pub fn high_resolution(nanos: u64) -> u64 {
     let seconds = nanos / NANOS_PER_SECOND;
     let subsecond_nanos = nanos % NANOS_PER_SECOND;
     (seconds << TIME_FRACTION_BITS) | ((subsecond_nanos << TIME_FRACTION_BITS) / NANOS_PER_SECOND)
 }
 
-/// Converts collectd's units of 2^-30 seconds to nanoseconds.
+/// Converts collectd's high-resolution time in units of 2^-30 seconds to nanoseconds, rounding down.
 pub fn nanos(high_resolution: u64) -> u64 {
     let seconds = high_resolution >> TIME_FRACTION_BITS;
     let fraction = high_resolution & TIME_FRACTION_MASK;
--- a/crates/telemetry/src/collectd/decode.rs
+++ b/crates/telemetry/src/collectd/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of packets.
+//! Decoding of packets from collectd.
 
 use super::security::{self, UserKeys};
 use super::{part_type, value_type};
@@ -6,17 +6,20 @@
 use super::{MAX_NAME_BYTES, PART_HEADER_BYTES, TIME_FRACTION_BITS};
 use crate::settings::Require;
 
-/// Maximum number of values in a list; stock types have fewer.
+/// Maximum number of values in a list; the types that collectd defines in `types.db` have fewer.
 const MAX_VALUES: usize = 64;
-/// Size of a value: its type and its number.
+/// Size of the number of a value.
 const NUMBER_BYTES: usize = 8;
+/// Size of a value: its type and its number.
 const VALUE_BYTES: usize = 1 + NUMBER_BYTES;
 /// Size of the number of values before a list.
 const VALUE_COUNT_BYTES: usize = 2;
-/// Maximum length of a received string. Newer versions of collectd send longer strings than this encoder.
+/// Maximum length of a received string in bytes, including its zero byte. Newer versions of collectd send
+/// longer strings than [`MAX_NAME_BYTES`].
 const MAX_STRING_BYTES: usize = MAX_NAME_BYTES * 8;
 
-/// Decodes a packet completely; an error if any part of it is invalid or not secured as required.
+/// Decodes the items of a packet. Returns an error, and no items, if any part is invalid or not secured as
+/// required.
 pub fn read(packet: &[u8], keys: &UserKeys, require: Require) -> Result<Vec<PacketItem>, PacketError> {
     let mut decoder = Decoder { keys, require, items: Vec::new() };
     decoder.decode(packet, PacketSecurity::None)?;
@@ -41,7 +44,7 @@
     }
 }
 
-/// A part of a packet.
+/// A part of a packet, with its offset and its end in the packet.
 #[derive(Clone, Copy)]
 struct Part<'a> {
     offset: usize,
@@ -56,7 +59,7 @@
     items: Vec<PacketItem>,
 }
 
-/// The description of the next item by the parts before it.
+/// The values of the parts so far, each of which applies to all items until another part of its type.
 #[derive(Default)]
 struct Description {
     header: ItemHeader,
--- a/crates/telemetry/src/collectd/encode.rs
+++ b/crates/telemetry/src/collectd/encode.rs
@@ -1,4 +1,4 @@
-//! Encoding of packets.
+//! Encoding of packets for collectd.
 
 use super::security::InitializationVector;
 use super::{high_resolution, part_type, security, value_type};
@@ -9,7 +9,7 @@
 /// Plugin name of all values and notifications of a courier.
 const PLUGIN: &str = "linnetcart";
 
-/// The severity of a notification.
+/// The severity of a notification, with its number in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// Something failed.
@@ -20,12 +20,12 @@
     Okay = 4,
 }
 
-/// Encodes packets with one time and one sender.
+/// Encodes packets that have the same host, timestamp and interval.
 #[derive(Clone, Debug)]
 pub struct PacketEncoder<'a> {
-    /// Name of the reporting host.
+    /// Host name under which the receiver stores the values.
     pub host: &'a str,
-    /// Time in nanoseconds since 1970.
+    /// Timestamp of all items, in nanoseconds since 1970.
     pub time: u64,
     /// Interval between two reports, in nanoseconds.
     pub interval: u64,
@@ -36,8 +36,9 @@
 }
 
 impl PacketEncoder<'_> {
-    /// Encodes points in packets that are filled up to the maximum size. Each packet can be decoded without
-    /// the others.
+    /// Encodes points in packets that are filled up to the maximum size. Each packet repeats the parts that
+    /// its values need, so that it can be decoded if others are lost. `next_iv` returns a new initialization
+    /// vector for each encrypted packet.
     pub fn points(
         &self,
         points: &[Point],
@@ -47,19 +48,19 @@
         let empty = self.begin();
         let mut packets = Vec::new();
         let mut packet = empty.clone();
-        let mut described = None;
+        let mut previous = None;
         for point in points {
             let value = ValueParts::new(point);
-            let mut parts = value.parts(described.as_ref());
-            if packet.len() + parts.len() > capacity && described.is_some() {
+            let mut parts = value.parts(previous.as_ref());
+            if packet.len() + parts.len() > capacity && previous.is_some() {
                 let full = std::mem::replace(&mut packet, empty.clone());
                 packets.push(self.seal(full, next_iv));
                 parts = value.parts(None);
             }
             packet.extend(parts);
-            described = Some(value);
+            previous = Some(value);
         }
-        if described.is_some() {
+        if previous.is_some() {
             packets.push(self.seal(packet, next_iv));
         }
         packets
@@ -82,7 +83,7 @@
         self.seal(packet, next_iv)
     }
 
-    /// Encodes the parts at the beginning of each packet.
+    /// Encodes the parts at the beginning of each packet: host, timestamp, interval and plugin.
     fn begin(&self) -> Vec<u8> {
         let mut packet = Vec::with_capacity(self.max_bytes);
         let time = high_resolution(self.time);
@@ -94,6 +95,7 @@
         packet
     }
 
+    /// Signs or encrypts the parts as configured, and returns the packet.
     fn seal(&self, parts: Vec<u8>, next_iv: &mut dyn FnMut() -> InitializationVector) -> Vec<u8> {
         match self.security {
             Security::None => parts,
@@ -103,7 +105,7 @@
     }
 }
 
-/// A point as parts of a packet.
+/// The parts that describe a point and its value.
 struct ValueParts {
     plugin_instance: String,
     type_name: &'static str,
@@ -112,6 +114,8 @@
 }
 
 impl ValueParts {
+    /// Maps a point to collectd's types: counters to `derive`, gauges to `gauge`, and latencies to `latency`,
+    /// which is in seconds.
     fn new(point: &Point) -> ValueParts {
         let (type_name, value) = match point.value {
             PointValue::Counter(count) => {
@@ -128,13 +132,13 @@
         }
     }
 
-    /// Encodes the parts, except those that the previous value in the packet already provides.
-    fn parts(&self, before: Option<&ValueParts>) -> Vec<u8> {
+    /// Encodes the parts, except those that still apply from the previous value in the packet.
+    fn parts(&self, previous: Option<&ValueParts>) -> Vec<u8> {
         let mut parts = Vec::new();
-        if before.is_none_or(|before| before.plugin_instance != self.plugin_instance) {
+        if previous.is_none_or(|previous| previous.plugin_instance != self.plugin_instance) {
             write_text(&mut parts, part_type::PLUGIN_INSTANCE, &self.plugin_instance);
         }
-        if before.is_none_or(|before| before.type_name != self.type_name) {
+        if previous.is_none_or(|previous| previous.type_name != self.type_name) {
             write_text(&mut parts, part_type::TYPE, self.type_name);
         }
         write_text(&mut parts, part_type::TYPE_INSTANCE, self.type_instance);
@@ -143,6 +147,7 @@
     }
 }
 
+/// Returns the plugin instance under which collectd stores the series of a subject.
 fn plugin_instance(subject: &SeriesSubject) -> String {
     match subject {
         SeriesSubject::Courier => "courier".to_owned(),
@@ -155,6 +160,7 @@
     }
 }
 
+/// Appends a part: its type, its length and its content.
 pub(super) fn write_part(out: &mut Vec<u8>, part_type: u16, content: &[u8]) {
     let length = (PART_HEADER_BYTES + content.len()) as u16;
     out.extend(part_type.to_be_bytes());
@@ -162,6 +168,7 @@
     out.extend(content);
 }
 
+/// Appends a part with a zero-terminated string, truncated to the maximum length and without zero bytes.
 fn write_text(out: &mut Vec<u8>, part_type: u16, text: &str) {
     let length = text.len().min(MAX_NAME_BYTES - 1);
     let mut content = text.as_bytes()[..length].to_vec();
@@ -170,7 +177,8 @@
     write_part(out, part_type, &content);
 }
 
-/// Appends a part of values: their number, their types, then each in eight bytes.
+/// Appends a part of type `VALUES`: the number of values (16 bits), their types (8 bits each), then the
+/// values (64 bits each).
 fn write_values(out: &mut Vec<u8>, values: &[MetricValue]) {
     let mut content = (values.len() as u16).to_be_bytes().to_vec();
     for value in values {
@@ -186,7 +194,7 @@
             MetricValue::Counter(count) | MetricValue::Absolute(count) => {
                 content.extend(count.to_be_bytes());
             }
-            // In this protocol only gauges have their least significant byte first.
+            // The protocol is big-endian except for gauges.
             MetricValue::Gauge(value) => content.extend(value.to_le_bytes()),
             MetricValue::Derive(value) => content.extend(value.to_be_bytes()),
         }
--- a/crates/telemetry/src/collectd/security.rs
+++ b/crates/telemetry/src/collectd/security.rs
@@ -1,4 +1,4 @@
-//! Signatures and encryption of packets.
+//! Signatures (HMAC-SHA-256) and encryption (AES-256 in output feedback mode) of packets.
 
 use super::encode::write_part;
 use super::{part_type, PacketError, MAX_NAME_BYTES, PART_HEADER_BYTES};
@@ -12,16 +12,16 @@
 pub(super) const IV_BYTES: usize = 16;
 pub(super) const MAC_BYTES: usize = 32;
 pub(super) const CHECKSUM_BYTES: usize = 20;
-/// Size of the length of a user's name.
+/// Size of the length before a user's name in an encrypted part.
 const USER_LENGTH_BYTES: usize = 2;
 
 /// 256-bit AES in output feedback mode.
 type Aes256Ofb = ofb::Ofb<aes::Aes256>;
 
-/// The random initialization vector of an encryption; it must not be reused.
+/// The random initialization vector of an encrypted packet; it must not be reused with the same key.
 pub type InitializationVector = [u8; IV_BYTES];
 
-/// The accepted keys, by user.
+/// The accepted keys, by user; several while keys are rotated.
 pub(super) type UserKeys = BTreeMap<String, Vec<String>>;
 
 /// Returns the number of bytes that a signature or encryption adds to a packet.
@@ -35,8 +35,7 @@
     }
 }
 
-/// Prepends a signature to the parts. It holds the authentication code over the user's name and all parts
-/// after it, then the name.
+/// Prepends a signature to the parts: HMAC-SHA-256(key, user || parts), then the user's name.
 pub(super) fn sign(parts: &[u8], user: &User) -> Vec<u8> {
     let mut content = authentication_code(&user.user, &user.key, parts).finalize().into_bytes().to_vec();
     content.extend(user.user.as_bytes());
@@ -46,8 +45,8 @@
     packet
 }
 
-/// Encrypts the parts. The encrypted part holds the length of the user's name, the name, the initialization
-/// vector, and, encrypted, the SHA-1 checksum of the parts and the parts.
+/// Encrypts the parts. The encrypted part holds the length of the user's name, the name and the
+/// initialization vector in plain, then the SHA-1 checksum of the parts and the parts encrypted.
 pub(super) fn encrypt(parts: &[u8], user: &User, iv: InitializationVector) -> Vec<u8> {
     let mut sealed = Sha1::digest(parts).to_vec();
     sealed.extend(parts);
@@ -93,7 +92,7 @@
     Err(PacketError::NotAuthentic { user })
 }
 
-/// Error of a signature or an encrypted part, which are always at the beginning of a packet.
+/// Error of a malformed signature or encrypted part, which are always at the beginning of a packet.
 const FIRST_PART_INVALID: PacketError = PacketError::InvalidContent { offset: 0 };
 
 struct UserWithKeys<'a> {
@@ -109,6 +108,7 @@
     }
 }
 
+/// Returns HMAC-SHA-256(key, user || parts).
 fn authentication_code(user: &str, key: &str, parts: &[u8]) -> Hmac<Sha256> {
     let mut code =
         <Hmac<Sha256> as Mac>::new_from_slice(key.as_bytes()).expect("HMAC takes keys of any length");
@@ -117,6 +117,7 @@
     code
 }
 
+/// Returns the cipher of a packet, whose key is the SHA-256 digest of the user's key.
 fn cipher(key: &str, iv: &InitializationVector) -> Aes256Ofb {
     Aes256Ofb::new(&Sha256::digest(key.as_bytes()), iv.into())
 }
--- a/crates/telemetry/src/connection.rs
+++ b/crates/telemetry/src/connection.rs
@@ -1,7 +1,7 @@
-//! A connection to a receiver, with a bounded send buffer and backoff between connection attempts.
+//! A connection to a receiver, with a bounded send buffer and exponential backoff between reconnections.
 //!
 //! [`ReceiverConnection`] owns no socket: its owner reports the events of a socket and polls for actions.
-//! Bytes that a receiver does not accept stay in the buffer until newer reports displace them.
+//! Bytes that a receiver does not accept stay in the buffer until newer reports displace them, oldest first.
 
 mod send_buffer;
 #[cfg(test)]
@@ -16,13 +16,14 @@
 use send_buffer::SendBuffer;
 use std::net::SocketAddr;
 
-/// Backoff after the first failure; each further failure doubles it up to the maximum.
+/// Backoff after the first failure, in nanoseconds; each further failure doubles it up to the maximum.
 const FIRST_BACKOFF: Time = SECOND;
 const MAX_BACKOFF: Time = 60 * SECOND;
-/// A backoff is multiplied by a random factor, so that couriers do not reconnect at the same time.
+/// Jitter: a backoff is multiplied by a random factor in this range, so that couriers do not reconnect at the
+/// same time.
 const BACKOFF_JITTER: std::ops::Range<f64> = 0.5..1.5;
-/// Maximum number of bytes handed to the system and not yet written. Others stay in the buffer, where they
-/// can be dropped.
+/// Maximum number of bytes handed to the system and not yet written; a chunk that begins below it is handed
+/// over completely. Others stay in the buffer, where they can be dropped.
 const MAX_UNWRITTEN_BYTES: u64 = 256 << 10;
 
 /// An action for the owner of a connection.
@@ -30,9 +31,9 @@
 pub enum ConnectionAction {
     /// Connect to this address.
     Connect(SocketAddr),
-    /// Write these bytes.
+    /// Write these bytes after those of earlier actions.
     Write(Bytes),
-    /// Close at once.
+    /// Close at once, without waiting for unwritten bytes.
     Close,
 }
 
@@ -52,6 +53,7 @@
         retry_at: Time,
     },
     Connecting {
+        /// When the attempt was started.
         since: Time,
     },
     Connected(Progress),
@@ -60,9 +62,9 @@
 /// Progress of writing on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Progress {
-    /// Bytes handed to the system.
+    /// Bytes handed to the system on this connection.
     handed_over: u64,
-    /// Bytes written by the system.
+    /// Of these, bytes written by the system.
     written: u64,
     /// When the system last wrote bytes or had none to write.
     last_progress: Time,
@@ -72,18 +74,20 @@
 #[derive(Debug)]
 pub struct ReceiverConnection {
     address: SocketAddr,
-    /// A connection without progress for this long is closed.
+    /// A connection without progress for this long, in nanoseconds, is closed.
     stuck_timeout: Time,
     state: ConnectionState,
     buffer: SendBuffer,
+    /// Backoff after the next failure, before jitter.
     next_backoff: Time,
+    /// Source of the jitter.
     random: ChaCha8Rng,
     failures: u64,
 }
 
 impl ReceiverConnection {
     /// Creates a connection that buffers at most `max_bytes` and is closed after `stuck_timeout` without
-    /// progress. The seed spreads the connection attempts of couriers.
+    /// progress. The seed determines the jitter and should differ between couriers.
     pub fn new(address: SocketAddr, max_bytes: usize, stuck_timeout: Time, seed: u64) -> ReceiverConnection {
         ReceiverConnection {
             address,
@@ -111,7 +115,7 @@
         matches!(self.state, ConnectionState::Connected(_))
     }
 
-    /// Queues chunks. Beyond the maximum number of bytes, the oldest unsent chunks are dropped.
+    /// Appends chunks to the send buffer. Beyond its maximum size, the oldest unsent chunks are dropped.
     pub fn send(&mut self, chunks: Vec<Chunk>) {
         for chunk in chunks {
             self.buffer.push(chunk);
@@ -126,7 +130,8 @@
         }
     }
 
-    /// Handles that the connection failed or broke. Chunks that were not written completely are sent again.
+    /// Handles that the connection failed or broke, and schedules the next attempt. Chunks that were not
+    /// written completely are sent again.
     pub fn disconnected(&mut self, now: Time) {
         if matches!(self.state, ConnectionState::Disconnected { .. }) {
             return;
@@ -139,7 +144,8 @@
         self.next_backoff = (self.next_backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Handles that the system has written `bytes` bytes since the connection was established.
+    /// Handles that the system has written `bytes` bytes in total since the connection was established. The
+    /// first chunk written completely resets the backoff.
     pub fn written(&mut self, now: Time, bytes: u64) {
         let ConnectionState::Connected(progress) = &mut self.state else { return };
         let bytes = bytes.min(progress.handed_over);
@@ -178,6 +184,7 @@
         }
     }
 
+    /// Whether a connection attempt is due: the backoff has elapsed and there is something to send.
     fn may_connect(&self, now: Time) -> bool {
         match self.state {
             ConnectionState::Disconnected { retry_at } => retry_at <= now && self.buffer.has_unsent(),
@@ -185,6 +192,7 @@
         }
     }
 
+    /// Whether connecting, or writing what is in flight, made no progress for [`Self::stuck_timeout`].
     fn is_stuck(&self, now: Time) -> bool {
         match &self.state {
             ConnectionState::Disconnected { .. } => false,
@@ -195,6 +203,7 @@
         }
     }
 
+    /// Hands chunks to the system until [`MAX_UNWRITTEN_BYTES`] are unwritten.
     fn hand_over(&mut self, now: Time, actions: &mut Vec<ConnectionAction>) {
         let ConnectionState::Connected(progress) = &mut self.state else { return };
         if !self.buffer.has_in_flight() {
--- a/crates/telemetry/src/connection/send_buffer.rs
+++ b/crates/telemetry/src/connection/send_buffer.rs
@@ -1,16 +1,16 @@
-//! A bounded buffer of chunks for a receiver. The oldest chunks are dropped first, and incomplete ones are
-//! sent again after a connection broke.
+//! A bounded FIFO buffer of chunks for a receiver. When it is full, the oldest unsent chunks are dropped;
+//! after a connection broke, chunks that were not written completely are sent again.
 
 use crate::graphite::Chunk;
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Chunks in their order: first those in flight on the connection, then the unsent ones.
+/// Chunks in the order of sending: first those in flight on the connection, then the unsent ones.
 #[derive(Debug)]
 pub(super) struct SendBuffer {
     in_flight: VecDeque<InFlightChunk>,
     unsent: VecDeque<UnsentChunk>,
-    /// Total size of all chunks.
+    /// Total size of all chunks in bytes, including those in flight.
     bytes: usize,
     max_bytes: usize,
     points_dropped: u64,
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct InFlightChunk {
     chunk: UnsentChunk,
-    /// Number of bytes of the connection up to the end of the chunk.
+    /// Offset of the end of the chunk in the byte stream of the connection.
     end: u64,
 }
 
@@ -56,7 +56,8 @@
         !self.unsent.is_empty()
     }
 
-    /// Adds a chunk, and drops the oldest unsent chunks beyond the maximum size.
+    /// Appends a chunk, and drops the oldest unsent chunks beyond the maximum size. Chunks in flight count
+    /// towards the size and are not dropped.
     pub(super) fn push(&mut self, chunk: Chunk) {
         self.bytes += chunk.bytes.len();
         self.unsent.push_back(UnsentChunk { bytes: chunk.bytes.into(), points: chunk.points });
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Moves the next chunk in flight and returns its bytes. `handed_over` bytes were written on the
-    /// connection before.
+    /// Moves the next unsent chunk to those in flight and returns its bytes, which begin at the offset
+    /// `handed_over` of the byte stream.
     pub(super) fn next_chunk(&mut self, handed_over: u64) -> Option<Bytes> {
         let chunk = self.unsent.pop_front()?;
         let bytes = chunk.bytes.clone();
@@ -77,8 +78,8 @@
         Some(bytes)
     }
 
-    /// Removes the chunks that are complete after `written` bytes of the connection; returns whether there
-    /// was any.
+    /// Removes the chunks in flight that lie completely within the first `written` bytes of the byte stream;
+    /// returns whether there was any.
     pub(super) fn acknowledge(&mut self, written: u64) -> bool {
         let mut any_complete = false;
         while self.in_flight.front().is_some_and(|first| first.end <= written) {
@@ -89,7 +90,7 @@
         any_complete
     }
 
-    /// Returns the chunks in flight to the front of the unsent chunks, after the connection broke.
+    /// Moves the chunks in flight back to the front of the unsent chunks, after the connection broke.
     pub(super) fn return_in_flight(&mut self) {
         while let Some(last) = self.in_flight.pop_back() {
             self.unsent.push_front(last.chunk);
--- a/crates/telemetry/src/graphite.rs
+++ b/crates/telemetry/src/graphite.rs
@@ -1,4 +1,4 @@
-//! Graphite's formats: plaintext lines and frames of pickled lists.
+//! Graphite's formats: plaintext lines and length-prefixed frames of pickled lists.
 //!
 //! This module names, encodes and decodes points. It never opens a connection.
 
@@ -12,7 +12,7 @@
 /// Maximum number of points in a chunk, and so in a pickle frame: receivers limit the size of a frame.
 const MAX_CHUNK_POINTS: usize = 500;
 
-/// The courier that reports.
+/// The courier that reports, as it appears in names of series.
 #[derive(Clone, Debug, Default)]
 pub struct MetricSource {
     /// Name of the deployment, safe for a path.
@@ -24,9 +24,9 @@
 /// How series are named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameStyle {
-    /// Long paths.
+    /// Dotted paths: `linnetcart.<deployment>.edge.<courier>.<subject>.<metric>`.
     Paths,
-    /// Short names with tags.
+    /// Tags: `linnetcart.edge.<metric>;deployment=<deployment>;edge=<courier>`, then the tags of the subject.
     Tags,
 }
 
@@ -39,7 +39,7 @@
     pub names: NameStyle,
 }
 
-/// Encoded points, which are sent or dropped together.
+/// Encoded points, the unit in which the send buffer sends or drops.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// The encoded points.
@@ -48,14 +48,14 @@
     pub points: u32,
 }
 
-/// A point under the name of its series.
+/// A point with the full name of its series, as a receiver decodes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedPoint {
     /// Name of the series.
     pub name: String,
     /// The value.
     pub value: f64,
-    /// Seconds since 1970.
+    /// Timestamp of the point, in seconds since 1970.
     pub time_s: u64,
 }
 
@@ -96,7 +96,7 @@
     format!("linnetcart.{}.edge.{}.{subject}.{}", source.deployment, source.courier, point.metric)
 }
 
-/// Encodes points at a time in seconds since 1970, in chunks that can be sent and dropped independently.
+/// Encodes points with a timestamp in seconds since 1970, in chunks that can be decoded independently.
 pub fn encode(source: &MetricSource, points: &[Point], time_s: u64, encoding: Encoding) -> Vec<Chunk> {
     let mut chunks = Vec::with_capacity(points.len().div_ceil(MAX_CHUNK_POINTS));
     for points in points.chunks(MAX_CHUNK_POINTS) {
@@ -127,8 +127,8 @@
     lines.into_bytes()
 }
 
-/// Encodes a frame: its length in four bytes, most significant first, then a pickled list of
-/// (name, (time, value)).
+/// Encodes a frame: the length of the list as a big-endian `u32`, then a pickled list of
+/// (name, (timestamp, value)).
 fn encode_pickle(points: impl Iterator<Item = NamedPoint>) -> Vec<u8> {
     let list: Vec<(String, (u64, f64))> =
         points.map(|point| (point.name, (point.time_s, point.value))).collect();
@@ -139,7 +139,7 @@
     frame
 }
 
-/// Decodes a line of the plaintext format; `None` if it is not a point.
+/// Decodes a line of the plaintext format, `name value timestamp`; `None` if it is not a point.
 pub fn decode_line(line: &str) -> Option<NamedPoint> {
     let mut words = line.split_ascii_whitespace();
     let name = words.next()?.to_owned();
--- a/crates/telemetry/src/host.rs
+++ b/crates/telemetry/src/host.rs
@@ -1,6 +1,7 @@
 //! Metrics of the host, as reported by the host's own collectd: load, network links and disks.
 //!
-//! Packets may be truncated, forged or outdated; they never cost more than their decoding.
+//! Packets are not trusted: they may be truncated, forged or replayed. Such a packet costs no more than its
+//! decoding and is counted; the number of stored series and host names is bounded.
 
 mod status;
 #[cfg(test)]
@@ -21,7 +22,7 @@
 const MAX_HOSTS: usize = 16;
 /// Maximum number of logged characters of a notification.
 const MAX_NOTIFICATION_CHARACTERS: usize = 200;
-/// Number of collectd's time units in a second.
+/// Number of collectd's time units (2^-30 seconds) in a second.
 const UNITS_PER_SECOND: f64 = (1u64 << 30) as f64;
 
 /// A notification of a fault from the host's collectd.
@@ -29,13 +30,13 @@
 pub struct HostNotification {
     /// Name of the host.
     pub host: String,
-    /// The severity, as defined by collectd's protocol.
+    /// The severity, as defined by collectd's protocol; see [`Severity`].
     pub severity: u64,
-    /// The text, without control characters.
+    /// The text without control characters, truncated to a maximum length.
     pub text: String,
 }
 
-/// Identifies a series.
+/// Identifies a series by collectd's identifier: host, plugin, type and the instances of both.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SeriesKey {
     host: String,
@@ -48,17 +49,18 @@
 /// The last values of a series.
 #[derive(Clone, Debug)]
 struct LastValues {
-    /// In collectd's units.
+    /// Timestamp of the values, in units of 2^-30 seconds since 1970.
     time: u64,
     values: Vec<MetricValue>,
 }
 
-/// Processes the packets of the host's collectd.
+/// Decodes the packets of the host's collectd, and keeps the last metrics of the host.
 #[derive(Clone, Debug)]
 pub struct HostMonitor {
     settings: Listen,
     series: BTreeMap<SeriesKey, LastValues>,
     status: HostStatus,
+    /// When the last packet was accepted, on the monotonic clock.
     last_accepted: Option<Time>,
 }
 
@@ -97,8 +99,8 @@
         self.status.packets_rejected
     }
 
-    /// Counts a rejected packet. The first rejection is logged, and every one that indicates a wrong key or
-    /// an attack.
+    /// Counts a rejected packet. Returns an event for the first rejection, and for every one that indicates a
+    /// wrong key or an attack.
     fn reject(&mut self, error: PacketError) -> Option<LogEvent> {
         let is_first = self.status.last_rejection.is_none();
         let is_key_wrong =
@@ -108,6 +110,7 @@
         (is_first || is_key_wrong).then_some(LogEvent::HostPacketRejected { error })
     }
 
+    /// Processes the items of a packet. Returns an event with the notifications of faults, if there are any.
     fn accept(&mut self, items: Vec<PacketItem>, wall: Time) -> Option<LogEvent> {
         let mut notifications = Vec::new();
         for item in items {
@@ -122,6 +125,8 @@
         (!notifications.is_empty()).then_some(LogEvent::HostNotifications(notifications))
     }
 
+    /// Updates a series and the status. Values with a timestamp too far from the wall clock or not after the
+    /// last one of the series (replayed or reordered packets) are ignored and counted.
     fn accept_values(&mut self, header: ItemHeader, values: Vec<MetricValue>, wall: Time) {
         let key = SeriesKey::new(&header);
         let before = self.series.get(&key);
@@ -166,8 +171,8 @@
     }
 }
 
-/// Returns the changes of values per second. Negative changes, caused by counters that restarted, become
-/// zero.
+/// Returns the rate of change of each value per second, max(0, value - previous value) / seconds. A change is
+/// negative when a counter restarted.
 fn rates(before: &LastValues, values: &[MetricValue], time: u64) -> Vec<f64> {
     let seconds = (time - before.time) as f64 / UNITS_PER_SECOND;
     let mut rates = Vec::with_capacity(values.len());
--- a/crates/telemetry/src/host/status.rs
+++ b/crates/telemetry/src/host/status.rs
@@ -7,19 +7,19 @@
 /// Maximum number of links, and of disks, in a log line.
 const MAX_LOGGED_DEVICES: usize = 8;
 
-/// The metrics of the host in its last reports. The serialized names of the fields are part of the status
-/// page.
+/// The host's metrics from its last reports, and counts of the packets and values received. The serialized
+/// names of the fields are part of the status page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct HostStatus {
     /// Names of the hosts that sent reports.
     pub hosts: Vec<String>,
-    /// Load averages.
+    /// Load averages; `None` until they are reported.
     pub load: Option<LoadAverages>,
-    /// Traffic of each network link.
+    /// Traffic of each network interface, by its name.
     pub links: BTreeMap<String, LinkRates>,
-    /// Traffic of each disk.
+    /// Traffic of each disk, by its name.
     pub disks: BTreeMap<String, DiskRates>,
-    /// Seconds since the last accepted packet.
+    /// Seconds since the last accepted packet; `None` before the first.
     pub age_s: Option<f64>,
     /// Packets accepted.
     #[serde(rename = "good")]
@@ -30,10 +30,11 @@
     /// Why the last packet was rejected.
     #[serde(rename = "last_bad")]
     pub last_rejection: Option<String>,
-    /// Values ignored because their time was not after the previous one, or too far from the clock.
+    /// Lists of values ignored because their timestamp was not after the previous one of their series, or too
+    /// far from the wall clock.
     #[serde(rename = "old")]
     pub values_outdated: u64,
-    /// Values ignored because the maximum number of series was reached.
+    /// Lists of values ignored because the maximum number of series was reached.
     #[serde(rename = "beyond")]
     pub values_beyond_limit: u64,
 }
@@ -50,7 +51,7 @@
     pub fifteen_minutes: f64,
 }
 
-/// Traffic of a network link, in bytes per second; serialized as a list in this order.
+/// Traffic of a network interface, in bytes per second; serialized as a list in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct LinkRates {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Formats the fields of a log line.
+/// Formats the metrics as `key=value` fields of a log line.
 impl fmt::Display for HostStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(LoadAverages { one_minute, five_minutes, fifteen_minutes }) = self.load {
--- a/crates/telemetry/src/limits.rs
+++ b/crates/telemetry/src/limits.rs
@@ -1,5 +1,5 @@
-//! The state of destinations and independent routes as observed by this courier: limits, attempts and
-//! latencies.
+//! The limits of destinations and independent routes as this courier observes them: their states, rates of
+//! attempts and latencies.
 
 use crate::latency::LatencyRecorder;
 use crate::series::{Point, PointValue, SeriesSubject};
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of the newest interval in the moving average of the inferred limit.
+/// Smoothing factor of the inferred limit, an exponentially weighted moving average over report intervals.
 const NEWEST_INTERVAL_WEIGHT: f64 = 0.5;
 
 /// Values of the metric `state`.
@@ -19,14 +19,17 @@
 const STATE_RECOVERING: f64 = 1.0;
 const STATE_EJECTED: f64 = 0.0;
 
-/// The destinations and routes in the endpoint list with their state. Nothing is recorded for others.
+/// The observed limits of the destinations and independent routes in the endpoint list. Nothing is recorded
+/// for others.
 #[derive(Debug, Default)]
 pub(crate) struct LimitTable {
-    /// The listed endpoints of each destination.
+    /// The endpoints of each listed destination.
     listed: BTreeMap<u32, Vec<u32>>,
     /// The destination of each endpoint that is an independent route.
     route_destinations: BTreeMap<u32, u32>,
+    /// Limits by destination.
     destinations: BTreeMap<u32, ObservedLimit>,
+    /// Limits of independent routes, by endpoint.
     routes: BTreeMap<u32, ObservedLimit>,
 }
 
@@ -46,7 +49,7 @@
 }
 
 impl LimitTable {
-    /// Replaces the endpoint list.
+    /// Replaces the endpoint list, and discards the limits of destinations and routes that are not in it.
     pub(crate) fn set_endpoints(&mut self, endpoints: impl Iterator<Item = ListedEndpoint>) {
         self.listed.clear();
         self.route_destinations.clear();
@@ -60,6 +63,7 @@
         self.routes.retain(|endpoint, _| self.route_destinations.contains_key(endpoint));
     }
 
+    /// Whether an endpoint is an independent route.
     pub(crate) fn is_route(&self, endpoint: u32) -> bool {
         self.route_destinations.contains_key(&endpoint)
     }
@@ -69,12 +73,12 @@
         self.route_destinations.get(&endpoint).copied()
     }
 
-    /// Returns the destinations with a recorded state, in their order.
+    /// Returns the destinations with an observed limit, in ascending order.
     pub(crate) fn destinations(&self) -> impl Iterator<Item = u32> + '_ {
         self.destinations.keys().copied()
     }
 
-    /// Returns the independent routes with a recorded state, in the order of their endpoints.
+    /// Returns the endpoints of independent routes with an observed limit, in ascending order.
     pub(crate) fn routes(&self) -> impl Iterator<Item = u32> + '_ {
         self.routes.keys().copied()
     }
@@ -104,8 +108,9 @@
         limits.into_iter().flatten()
     }
 
-    /// Records that the decision library changed the state of an endpoint's limit. Returns `None` if this
-    /// changes neither the route nor the destination.
+    /// Records that the decision library changed the state of an endpoint's limit, which is that of its route
+    /// if it is independent, and that of its destination otherwise. Returns `None` if the reported state of
+    /// that limit stays the same.
     pub(crate) fn change_state(
         &mut self,
         destination: u32,
@@ -124,20 +129,23 @@
     }
 }
 
-/// A limit as observed by this courier, with the attempts against it since the last report.
+/// A limit as observed by this courier, with its attempts since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct ObservedLimit {
+    /// Attempts started, served and rejected since the last report.
     attempts: u64,
     served: u64,
     rejected: u64,
+    /// Latencies of served attempts since the last report.
     latency: LatencyRecorder,
-    /// The limit in the last load report, in calls per second.
+    /// The limit in the last load report, in calls per second; `None` if that report had no limit.
     reported: Option<f64>,
     /// The unused fraction of the limit in the last load report.
     capacity_left: Option<f64>,
-    /// The limit inferred from the attempts served while others were rejected, in calls per second.
+    /// The limit inferred from the rate of served attempts in intervals with rejections, in calls per second.
     inferred: Option<f64>,
     state: LimitState,
+    /// Endpoints reported as silent that have not served an attempt since.
     silent_endpoints: BTreeSet<u32>,
 }
 
@@ -161,8 +169,9 @@
         self.reported = (load.rate_limit > 0.0).then_some(load.rate_limit);
     }
 
-    /// Changes the state of the limit and returns the new state, or `None` if it stays the same. The limit
-    /// counts as ejected only when all of its endpoints are silent.
+    /// Changes the state of a limit with this number of endpoints and returns the new state, or `None` if it
+    /// stays the same. Silence ejects a limit only when all of its endpoints are silent: one silent endpoint
+    /// is not an outage of the destination.
     fn change_state(&mut self, endpoint: u32, endpoints: usize, state: LimitState) -> Option<LimitState> {
         let mut state = state;
         if state == LimitState::Silent {
@@ -182,7 +191,7 @@
         Some(state)
     }
 
-    /// Appends the points of an interval of `seconds` seconds, and starts the next interval.
+    /// Appends the points of a report interval of `seconds` seconds, and starts the next interval.
     pub(crate) fn take_points(&mut self, subject: &SeriesSubject, seconds: f64, points: &mut Vec<Point>) {
         self.infer_limit(seconds);
         let mut gauge =
@@ -210,8 +219,9 @@
         self.rejected = 0;
     }
 
-    /// Infers the part of the limit that this courier gets: the rate of served attempts while others were
-    /// rejected.
+    /// Infers the part of a limit that this courier gets, if endpoints do not report the limit: in an
+    /// interval with rejections, the rate of served attempts is taken as the limit, and `inferred` moves
+    /// towards it by [`NEWEST_INTERVAL_WEIGHT`] of the difference.
     fn infer_limit(&mut self, seconds: f64) {
         if self.rejected == 0 || self.reported.is_some() {
             return;
@@ -222,6 +232,7 @@
     }
 }
 
+/// Returns the value of the metric `state`.
 fn state_value(state: LimitState) -> f64 {
     match state {
         LimitState::Healthy => STATE_HEALTHY,
--- a/crates/telemetry/src/receivers.rs
+++ b/crates/telemetry/src/receivers.rs
@@ -1,4 +1,4 @@
-//! The receivers of reports: a connection to Graphite, and datagrams to collectd.
+//! The receivers of reports: Graphite over a TCP connection, and collectd over UDP datagrams.
 
 use crate::collectd::{InitializationVector, PacketEncoder};
 use crate::connection::{ConnectionAction, Losses, ReceiverConnection};
@@ -18,9 +18,9 @@
     source: MetricSource,
     graphite: Option<GraphiteReceiver>,
     collectd: Option<Collectd>,
-    /// Interval between two reports.
+    /// Interval between two reports in nanoseconds, which packets to collectd state.
     interval: Time,
-    /// Losses of the connection that were already counted.
+    /// Losses of the connection up to the last [`Receivers::take_losses`].
     counted_losses: Losses,
     /// Source of the seeds of connections and of the initialization vectors of packets.
     random: ChaCha8Rng,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Applies new settings. The buffer of a receiver that does not change is retained.
+    /// Applies new settings. If those of the Graphite receiver are unchanged, its connection and send buffer
+    /// are retained.
     pub(crate) fn configure(&mut self, settings: &Settings, outputs: &mut Vec<Output>) {
         self.interval = settings.interval_s * SECOND;
         self.collectd.clone_from(&settings.collectd);
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Closes the connection to Graphite and discards its send buffer, then creates a new one if configured.
     fn replace_graphite(&mut self, settings: Option<&Graphite>, outputs: &mut Vec<Output>) {
         if self.graphite.is_some() {
             outputs.push(Output::Graphite(ConnectionAction::Close));
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Sends points of a report to all receivers.
+    /// Sends points of a report to all receivers, with the report's timestamp in nanoseconds since 1970.
     pub(crate) fn send_points(&mut self, points: &[Point], timestamp: Time, outputs: &mut Vec<Output>) {
         if let Some(GraphiteReceiver { settings, connection }) = &mut self.graphite {
             let time_s = timestamp / SECOND;
@@ -112,7 +114,7 @@
         self.send_datagrams(timestamp, outputs, |encoder, next_iv| encoder.points(points, next_iv));
     }
 
-    /// Sends a notification to collectd. Graphite has no notifications.
+    /// Sends a notification to collectd, if configured. Graphite's protocol has no notifications.
     pub(crate) fn notify(
         &mut self,
         notification: &StateNotification,
@@ -125,7 +127,7 @@
         });
     }
 
-    /// Encodes and sends packets if a collectd receiver is configured.
+    /// Encodes packets and sends each as a datagram, if a collectd receiver is configured.
     fn send_datagrams(
         &mut self,
         timestamp: Time,
@@ -161,6 +163,7 @@
     Encoding { form: settings.form, names }
 }
 
+/// Returns the host name under which collectd stores this courier's series.
 fn host_name(collectd: &Collectd, source: &MetricSource) -> String {
     match &collectd.host {
         Some(host) => host.clone(),
--- a/crates/telemetry/src/settings.rs
+++ b/crates/telemetry/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the reports and their receivers: the document of `PUT /telemetry`.
 //!
-//! The serialized names of fields and the texts of [`SettingsError`] are part of the operators' interface.
+//! The serialized names of fields and the texts of [`SettingsError`] are part of the control interface.
 
 mod error;
 mod keys;
@@ -20,7 +20,8 @@
 pub struct Telemetry {
     /// Seconds between two reports.
     pub interval_s: u64,
-    /// Maximum number of points in a report. Beyond it, cells of destination and class take turns.
+    /// Maximum number of points in a report. Beyond it, the counts of destinations and routes are spread over
+    /// several reports.
     pub points: usize,
     /// Maximum number of counter cells: destinations times classes, and independent routes.
     pub cells: usize,
@@ -57,13 +58,14 @@
     /// Format of the points.
     #[serde(default)]
     pub form: Form,
-    /// Whether series have names with tags instead of long paths.
+    /// Whether series are named in Graphite's tag syntax (`metric;tag=value`) instead of by dotted paths.
     #[serde(default)]
     pub tags: bool,
-    /// Maximum number of bytes that wait for the receiver; beyond it the oldest are dropped.
+    /// Maximum size of the send buffer in bytes; beyond it, the oldest unsent points are dropped.
     #[serde(default = "default_queue_bytes")]
     pub queue_bytes: usize,
-    /// Seconds without progress after which the connection is closed and reconnected.
+    /// Seconds without progress, in connecting or in writing, after which the connection is closed and
+    /// reconnected.
     #[serde(default = "default_stuck_s")]
     pub stuck_s: u64,
 }
@@ -76,14 +78,14 @@
     30
 }
 
-/// A format of Graphite.
+/// A format in which Graphite receives points.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Form {
     /// One line for each point.
     #[default]
     Plaintext,
-    /// Frames of pickled lists.
+    /// Length-prefixed frames, each with a pickled list of points.
     Pickle,
 }
 
@@ -99,7 +101,8 @@
     /// How packets are secured.
     #[serde(default)]
     pub security: Security,
-    /// Maximum size of a packet in bytes.
+    /// Maximum size of a packet in bytes. The default is the UDP payload over IPv6 in an Ethernet frame:
+    /// 1500 - 40 - 8.
     #[serde(default = "default_packet_bytes")]
     pub packet_bytes: usize,
 }
@@ -108,26 +111,26 @@
     1452
 }
 
-/// How packets to collectd are secured.
+/// How packets to collectd are secured, in the terms of collectd's network plugin.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Security {
     /// Neither signed nor encrypted.
     #[default]
     None,
-    /// Signed with the key of this user.
+    /// Signed with the key of this user (HMAC-SHA-256).
     Sign(User),
-    /// Encrypted with the key of this user.
+    /// Encrypted with the key of this user (AES-256 in output feedback mode).
     Encrypt(User),
 }
 
-/// A user that is configured in collectd, with its key.
+/// A user in collectd's authentication file, with its key.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct User {
     /// Name of the user.
     pub user: String,
-    /// Secret key of the user.
+    /// Secret key of the user; redacted in documents that are shown and in debug output.
     pub key: String,
 }
 
@@ -141,15 +144,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Address to listen on, over UDP; it should be on loopback.
+    /// Address to listen on, over UDP; it should be a loopback address, as only the host's own collectd
+    /// reports to it.
     pub address: SocketAddr,
     /// The minimum security of accepted packets.
     #[serde(default)]
     pub require: Require,
-    /// Secret keys by user; a user has several while one replaces another.
+    /// Secret keys by user; a user has several during key rotation.
     #[serde(default)]
     pub users: BTreeMap<String, Vec<String>>,
-    /// Maximum difference between the time of a value and the clock, in seconds.
+    /// Maximum difference between the timestamp of a value and the wall clock, in seconds; values outside it
+    /// are ignored.
     #[serde(default = "default_skew_s")]
     pub skew_s: u64,
 }
--- a/crates/telemetry/src/settings/error.rs
+++ b/crates/telemetry/src/settings/error.rs
@@ -1,7 +1,7 @@
-//! Errors of a document.
+//! Errors of a settings document.
 
-/// Why a document is rejected. The texts say what was found and what is expected, and are part of the
-/// operators' interface.
+/// Why a document is rejected. The texts say what was found and what is expected; clients of the control
+/// interface see them next to [`SettingsError::field`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A number is too small or too large.
@@ -16,10 +16,10 @@
         /// The largest allowed value.
         max: usize,
     },
-    /// A key is hidden, and the current document has no key to replace it.
+    /// A key is hidden, but the current document has no key in its place that could be retained.
     #[error("no key is known that could be kept; give it")]
     UnknownKey {
-        /// Identifies the key.
+        /// Place of the key: the receiver or listener, the user and, for a listener, the key's index.
         owner: String,
     },
     /// The host name of reports to collectd is empty or too long.
@@ -34,7 +34,7 @@
 }
 
 impl SettingsError {
-    /// Returns the path of the invalid field.
+    /// Returns the path of the invalid field in the document.
     pub fn field(&self) -> &str {
         match self {
             SettingsError::OutOfRange { field, .. } => field,
--- a/crates/telemetry/src/settings/keys.rs
+++ b/crates/telemetry/src/settings/keys.rs
@@ -1,20 +1,21 @@
-//! Hiding of the secret keys in a document that is shown, and their restoration when the document comes back.
+//! Redaction of the secret keys in a document that is shown, and their restoration when an operator edits the
+//! document and sends it back.
 
 use super::{Security, SettingsError, Telemetry};
 use std::collections::BTreeMap;
 
-/// Replaces a key that is not shown. Operators' documents contain this text, so it must not change.
+/// Placeholder of a key that is not shown. Operators' documents contain this text, so it must not change.
 const HIDDEN_KEY: &str = "(kept)";
 
 /// A secret key in a document.
 struct KeyEntry<'a> {
-    /// Identifies the key: the same in the document that was shown and in the one that comes back.
+    /// Place of the key, the same in the document that was shown and in the one that comes back.
     owner: String,
     key: &'a mut String,
 }
 
 impl Telemetry {
-    /// Returns the document with its keys hidden.
+    /// Returns the document with its keys replaced by a placeholder.
     pub fn without_keys(&self) -> Telemetry {
         let mut hidden = self.clone();
         for KeyEntry { key, .. } in hidden.keys_mut() {
@@ -23,7 +24,8 @@
         hidden
     }
 
-    /// Replaces the hidden keys of a document that comes back with the keys of the current document.
+    /// Replaces the hidden keys of a document that comes back with the keys in the same places of the current
+    /// document. Keys without a counterpart stay hidden, and [`Telemetry::check`] rejects them.
     pub fn restore_hidden_keys(&mut self, current: Option<&Telemetry>) {
         let mut current = current.cloned().unwrap_or_default();
         let mut known_keys = BTreeMap::new();
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Checks that no key is still hidden, because the current document had none for it.
+    /// Checks that no key is still hidden, which it is if the current document had no key in its place.
     pub(super) fn check_no_hidden_keys(&self) -> Result<(), SettingsError> {
         let mut document = self.clone();
         let mut hidden = document.keys_mut();
--- a/crates/telemetry/src/settings/validation.rs
+++ b/crates/telemetry/src/settings/validation.rs
@@ -1,9 +1,9 @@
-//! Checks of a document that deserialization cannot make.
+//! Checks of a settings document beyond deserialization.
 
 use super::{Collectd, Graphite, Listen, Require, Security, SettingsError, Telemetry, User};
 use std::ops::RangeInclusive;
 
-/// Maximum length of host and user names: collectd's protocol allows 128 bytes with the zero byte.
+/// Maximum length of host and user names in bytes: collectd allows 128 with the terminating zero byte.
 const MAX_NAME_BYTES: usize = 127;
 
 impl Telemetry {
--- a/crates/telemetry/src/stream.rs
+++ b/crates/telemetry/src/stream.rs
@@ -24,7 +24,7 @@
 pub struct Stream {
     /// The last value of each series.
     pub series: BTreeMap<String, SeriesValue>,
-    /// Descriptions of counts that fell and of timestamps that went back; the first [`MAX_REGRESSIONS`].
+    /// Descriptions of counts that fell and of timestamps that went back; only the first hundred.
     pub regressions: Vec<String>,
     /// Number of points received.
     pub points: u64,
