--- a/crates/telemetry/src/collectd/tests.rs
+++ b/crates/telemetry/src/collectd/tests.rs
@@ -26,7 +26,7 @@
     packets.remove(0)
 }
 
-/// Derived by hand from the published description of the protocol.
+/// A packet with one counter, derived by hand from the published description of the protocol.
 const PLAIN: &[u8] = b"\x00\x00\x00\x06h\x00\
     \x00\x08\x00\x0c\x00\x00\x00\x00\x60\x00\x00\x00\
     \x00\x09\x00\x0c\x00\x00\x00\x02\x80\x00\x00\x00\
@@ -62,7 +62,7 @@
     for packet in [&signed, &sealed] {
         let plain = read(PLAIN, &keys(&[]), Require::Nothing);
         assert_eq!(read(packet, &keys(&["secret"]), Require::Signed), plain);
-        assert_eq!(read(packet, &keys(&["new", "secret"]), Require::Signed), plain, "while keys rotate");
+        assert_eq!(read(packet, &keys(&["new", "secret"]), Require::Signed), plain, "during key rotation");
         assert_eq!(
             read(packet, &keys(&["new"]), Require::Nothing),
             Err(PacketError::NotAuthentic { user: "alice".into() })
--- a/crates/telemetry/src/connection/tests.rs
+++ b/crates/telemetry/src/connection/tests.rs
@@ -4,11 +4,12 @@
     ReceiverConnection::new("127.0.0.1:2003".parse().expect("an address"), 1000, 30 * SECOND, 1)
 }
 
+/// A chunk of 10 points and 100 bytes, all with this value.
 fn chunk(content: u8) -> Vec<Chunk> {
     vec![Chunk { bytes: vec![content; 100], points: 10 }]
 }
 
-/// The contents of the chunks that are to be written.
+/// Returns the first byte of each chunk that is to be written.
 fn written(actions: &[ConnectionAction]) -> Vec<u8> {
     let mut contents = Vec::new();
     for action in actions {
@@ -28,7 +29,11 @@
     assert_eq!((connection.buffered_bytes(), connection.losses().points_dropped), (1000, 150));
     assert_eq!(connection.poll(0), [ConnectionAction::Connect(connection.address)]);
     connection.connected(5);
-    assert_eq!(written(&connection.poll(5)), (15..25).collect::<Vec<u8>>(), "the newest are there, in order");
+    assert_eq!(
+        written(&connection.poll(5)),
+        (15..25).collect::<Vec<u8>>(),
+        "the newest chunks remain, in order"
+    );
     connection.written(6, 1000);
     assert_eq!((connection.buffered_bytes(), connection.next_wakeup()), (0, None));
 }
@@ -45,7 +50,7 @@
     let mut now = 2;
     let mut backoffs = Vec::new();
     for _ in 0..8 {
-        let at = connection.next_wakeup().expect("it comes back");
+        let at = connection.next_wakeup().expect("a reconnection is scheduled");
         assert!(connection.poll(at - 1).is_empty());
         backoffs.push(at - now);
         assert_eq!(connection.poll(at), [ConnectionAction::Connect(connection.address)]);
@@ -54,10 +59,10 @@
     }
     assert!(backoffs[0] <= 3 * SECOND / 2, "{backoffs:?}");
     assert!(backoffs[7] >= 30 * SECOND && backoffs[7] <= 90 * SECOND, "{backoffs:?}");
-    let at = connection.next_wakeup().expect("it comes back");
+    let at = connection.next_wakeup().expect("a reconnection is scheduled");
     connection.poll(at);
     connection.connected(at);
-    assert_eq!(written(&connection.poll(at)), [1, 2], "the one cut in two is sent again completely");
+    assert_eq!(written(&connection.poll(at)), [1, 2], "the partly written chunk is resent from its start");
 }
 
 #[test]
--- a/crates/telemetry/src/counts/tests.rs
+++ b/crates/telemetry/src/counts/tests.rs
@@ -43,7 +43,7 @@
         let names = classes(&["a", "b"]);
         let mut store = CounterStore::new(names.clone(), 100);
         let mut log = encode_entry(&CounterLogEntry::Classes(names.clone()));
-        // After each frame, the length of the log and what was counted.
+        // The length of the log and the counts after each frame.
         let mut states = vec![(log.len(), store.clone())];
         for (destination, class, field, increase) in adds {
             store.add(CounterKey::Cell { destination, class }, Field::ALL[field], increase);
@@ -76,7 +76,7 @@
     \x15\x00\x00\x00\xd8\xd9)S\x02{\"Stamp\":1700000000}\
     \x13\x00\x00\x00\xcaP\xd7q\x01\x00\x07\x01\xac\x02\x11\x07\x01\xd0\x0fGF\x00\x02\x95\x00\x00\x01";
 
-/// The document that an earlier version saved with the same counts.
+/// The snapshot that an earlier version saved with the same counts.
 const STORED_DOCUMENT: &str = concat!(
     r#"{"cells":[{"destination":7,"class":"query","route":null,"counts":{"taken":300,"#,
     r#""worth_asked_milli":2000}},{"destination":null,"class":null,"route":70,"#,
@@ -120,7 +120,7 @@
 fn document_written_matches_stored_text() {
     let names = BTreeMap::from([("Bank_Lodz".to_owned(), 7)]);
     let saved = stored_counts().saved(&names, 1_700_000_000);
-    assert_eq!(serde_json::to_string(&saved).expect("it can be written"), STORED_DOCUMENT);
+    assert_eq!(serde_json::to_string(&saved).expect("serializable"), STORED_DOCUMENT);
 }
 
 #[test]
@@ -132,7 +132,7 @@
     assert_eq!(store.cells(), stored_counts().cells());
 }
 
-/// A field's position is its number in the log, its name is part of documents and series: neither may change.
+/// A field's position is its number in the log, its name is part of snapshots and series: neither may change.
 #[test]
 fn fields_keep_their_numbers_and_names() {
     let names = Field::ALL.map(Field::name);
--- a/crates/telemetry/src/destination_names.rs
+++ b/crates/telemetry/src/destination_names.rs
@@ -5,11 +5,12 @@
 use crate::Output;
 use std::collections::BTreeMap;
 
-/// Assigns series names to destinations: the names in the settings, unless they belong to another
-/// destination.
+/// Assigns series names to destinations by the rules of [`SeriesNames::assign`]; the wanted names are those
+/// in the settings.
 #[derive(Debug)]
 pub(crate) struct DestinationNames {
     assigned: SeriesNames,
+    /// Names in the settings, by destination.
     configured: BTreeMap<u32, String>,
 }
 
@@ -24,12 +25,13 @@
         self.assigned.owners()
     }
 
-    /// Replaces the names in the settings.
+    /// Replaces the names from the settings. Names already assigned keep their destinations.
     pub(crate) fn configure(&mut self, names: &BTreeMap<u32, String>) {
         self.configured.clone_from(names);
     }
 
-    /// Returns the series name of a destination, and logs the name if it is newly assigned.
+    /// Returns the series name of a destination. A newly assigned name is appended to the counter log, so
+    /// that it keeps its destination after a restart.
     pub(crate) fn name(&mut self, destination: u32, outputs: &mut Vec<Output>) -> String {
         let wanted = self.configured.get(&destination).map(String::as_str);
         let AssignedName { name, newly_assigned } = self.assigned.assign(wanted, destination);
--- a/crates/telemetry/src/host/tests.rs
+++ b/crates/telemetry/src/host/tests.rs
@@ -8,7 +8,7 @@
     [&part_type.to_be_bytes()[..], &length.to_be_bytes(), content].concat()
 }
 
-/// A packet of a network link's octets received and sent.
+/// Encodes a packet with the numbers of octets that a network interface has received and sent.
 fn octets(time: u64, received: i64, sent: i64) -> Vec<u8> {
     let values = [&b"\x00\x02\x02\x02"[..], &received.to_be_bytes(), &sent.to_be_bytes()].concat();
     [
@@ -45,9 +45,12 @@
 #[test]
 fn invalid_packets_are_counted_and_series_are_limited() {
     let mut monitor = monitor();
-    assert!(monitor.packet_received(b"\x00\x00\x00\x00", 0, 0).is_some(), "the first is logged");
+    assert!(monitor.packet_received(b"\x00\x00\x00\x00", 0, 0).is_some(), "the first rejection is logged");
     for _ in 0..100 {
-        assert!(monitor.packet_received(b"\x00\x00\x00\x00", 0, 0).is_none(), "and no flood follows");
+        assert!(
+            monitor.packet_received(b"\x00\x00\x00\x00", 0, 0).is_none(),
+            "repeated rejections are not logged"
+        );
     }
     assert_eq!(monitor.status(0).packets_rejected, 101);
     for link in 0..MAX_SERIES + 50 {
@@ -68,5 +71,5 @@
         r#"{"hosts":["h"],"load":[0.5,1.5,2.5],"links":{"eth0":[1.0,2.0]},"disks":{"sda":[3.0,4.0]},"#,
         r#""age_s":null,"good":1,"bad":0,"last_bad":null,"old":0,"beyond":0}"#,
     );
-    assert_eq!(serde_json::to_string(&status).expect("it can be written"), wanted);
+    assert_eq!(serde_json::to_string(&status).expect("serializable"), wanted);
 }
--- a/crates/telemetry/src/host_listener.rs
+++ b/crates/telemetry/src/host_listener.rs
@@ -6,14 +6,14 @@
 use crate::{LogEvent, Output};
 use linnetcart::Time;
 
-/// Interval of logging the host's metrics.
+/// Interval of logging the host's metrics, in nanoseconds.
 const SUMMARY_INTERVAL: Time = 60 * SECOND;
 
 /// Receives packets from the host's collectd, and logs the host's metrics at intervals.
 #[derive(Debug)]
 pub(crate) struct HostListener {
     monitor: Option<HostMonitor>,
-    /// Number of rejected packets that were already counted.
+    /// Number of packets that the monitor had rejected at the last [`HostListener::take_rejections`].
     counted_rejections: u64,
     next_summary: Time,
 }
@@ -34,6 +34,7 @@
         }
     }
 
+    /// Processes a packet; ignored without a listener.
     pub(crate) fn packet_received(
         &mut self,
         packet: &[u8],
@@ -45,6 +46,7 @@
         outputs.extend(event.map(Output::LogWarning));
     }
 
+    /// Returns the host's current metrics; `None` without a listener.
     pub(crate) fn status(&self, now: Time) -> Option<HostStatus> {
         self.monitor.as_ref().map(|monitor| monitor.status(now))
     }
@@ -57,7 +59,7 @@
         rejections.saturating_sub(before)
     }
 
-    /// Logs the host's metrics if the interval has elapsed and there are any.
+    /// Logs the host's metrics if [`SUMMARY_INTERVAL`] has elapsed and a packet was ever accepted.
     pub(crate) fn log_summary_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.next_summary > now {
             return;
--- a/crates/telemetry/src/interface.rs
+++ b/crates/telemetry/src/interface.rs
@@ -9,18 +9,20 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The courier that reports.
+/// Identity and settings of the courier that reports, which do not change while it runs.
 #[derive(Clone, Debug)]
 pub struct CourierInfo {
-    /// Name of the deployment.
+    /// Name of the deployment, a part of series names.
     pub deployment: String,
-    /// Number of the courier.
+    /// Number of the courier in the deployment, a part of series names.
     pub courier_index: u32,
     /// The courier's classes, in the order of their numbers.
     pub classes: Vec<NamedClass>,
-    /// Whether the priority weight of a late message halves with each further latency objective.
+    /// Whether the priority weight of a late message halves with each further latency objective
+    /// (exponential decay) instead of decreasing linearly; see [`Class::weight_at`].
     pub weight_halves: bool,
-    /// Seed that spreads the reports and retries of couriers.
+    /// Seed of the random generator that spreads reports and reconnections over time and draws the
+    /// initialization vectors of encrypted packets.
     pub seed: u64,
 }
 
@@ -36,13 +38,13 @@
 /// The stored state of an earlier run.
 #[derive(Debug, Default)]
 pub struct RestoredState {
-    /// The saved document.
+    /// The last snapshot.
     pub saved: Option<Saved>,
-    /// The counter logs after the document, oldest first.
+    /// The counter logs begun since the snapshot, oldest first.
     pub logs: Vec<Vec<u8>>,
 }
 
-/// Current values that no delivery event carries.
+/// Current values of the courier's gauges, which no delivery event carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CurrentState {
     /// Messages in flight.
@@ -55,9 +57,9 @@
     pub max_calls_in_flight: usize,
     /// Maximum number of messages in flight.
     pub max_messages_in_flight: usize,
-    /// Connections of clients.
+    /// Open connections of clients.
     pub clients: usize,
-    /// Connections to endpoints.
+    /// Open connections to endpoints.
     pub upstream_connections: usize,
 }
 
@@ -75,9 +77,10 @@
 /// An action for the owner of [`crate::Telemetry`]. Actions must be performed in their order.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Append these bytes to the counter log.
+    /// Append these bytes to the counter log, before answers of the same iteration are sent to clients.
     Append(Vec<u8>),
-    /// Sync the counter log to disk, then call [`crate::Telemetry::synced`] with this number.
+    /// Sync everything appended to the counter log so far to disk, then call [`crate::Telemetry::synced`]
+    /// with this number.
     Sync(u64),
     /// Perform an action on the connection to Graphite.
     Graphite(ConnectionAction),
@@ -96,29 +99,30 @@
     #[error("{0}")]
     Storage(String),
     /// The sync did not finish in time.
-    #[error("bringing the counts to disk takes too long")]
+    #[error("syncing the counter log to disk timed out")]
     Timeout,
 }
 
 /// Status of the reporting. The serialized names of the fields are part of the status page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Status {
-    /// Number of reports that were begun.
+    /// Number of reports begun by this process.
     pub reports: u64,
-    /// Number of points of the last report.
+    /// Number of points of the last report, so far if it is in progress.
     pub points: usize,
     /// Number of counter cells.
     pub cells: usize,
-    /// Sum of the counts beyond the maximum number of cells, since the start.
+    /// Sum of the increases that were not counted because the maximum number of cells was reached, since the
+    /// start of the process.
     pub beyond: u64,
     /// Whether the connection to Graphite is established; `None` without a Graphite receiver.
     #[serde(rename = "graphite_up")]
     pub graphite_connected: Option<bool>,
-    /// Bytes that wait to be written to Graphite.
+    /// Bytes in the send buffer of the Graphite receiver.
     pub graphite_waiting: usize,
-    /// Points dropped since the receiver was configured.
+    /// Points dropped from that buffer since the receiver was configured.
     pub dropped: u64,
-    /// How far timestamps are ahead of the wall clock, in seconds.
+    /// How far the timestamp of the last report was ahead of the wall clock, in seconds.
     #[serde(rename = "stamps_ahead_s")]
     pub timestamps_ahead_s: f64,
     /// Whether syncs of the counter log fail; counts are not reported meanwhile.
--- a/crates/telemetry/src/latency.rs
+++ b/crates/telemetry/src/latency.rs
@@ -1,12 +1,13 @@
-//! Latencies of a report interval, and their percentiles.
+//! Latencies of a report interval in an HDR histogram, and their percentiles.
 
 use crate::series::{Point, PointValue, SeriesSubject};
 use hdrhistogram::Histogram;
 use linnetcart::Time;
 
-/// Unit of recorded latencies, in nanoseconds.
+/// Unit of recorded latencies, in nanoseconds: 0.1 ms.
 const LATENCY_UNIT: Time = 100_000;
-/// Precision of recorded latencies; more digits are not visible in a chart.
+/// Significant decimal digits of recorded latencies, a relative error of at most 1 %; more digits are not
+/// visible in a chart.
 const SIGNIFICANT_DIGITS: u8 = 2;
 const NANOS_PER_MILLISECOND: f64 = 1e6;
 
@@ -31,6 +32,7 @@
 }
 
 impl LatencyRecorder {
+    /// Records a latency in nanoseconds, as at least one [`LATENCY_UNIT`].
     pub(crate) fn record(&mut self, elapsed: Time) {
         if self.histogram.is_none() {
             // hdrhistogram supports this number of digits, so this cannot fail.
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Appends the percentiles of the latencies since the last call, if there were any.
+    /// Appends the percentiles of the latencies since the last call, if there were any, and clears them.
     pub(crate) fn take_points(&mut self, subject: &SeriesSubject, points: &mut Vec<Point>) {
         let Some(histogram) = self.histogram.take() else { return };
         for Percentile { metric, quantile } in PERCENTILES {
--- a/crates/telemetry/src/limits/tests.rs
+++ b/crates/telemetry/src/limits/tests.rs
@@ -3,7 +3,7 @@
 const DESTINATION: u32 = 1;
 const ROUTED_DESTINATION: u32 = 2;
 
-/// Two endpoints of one limit, and one independent route.
+/// A destination with two endpoints that share its limit, and one with an independent route.
 fn table() -> LimitTable {
     let mut table = LimitTable::default();
     let entry = |destination, endpoint, independent_route| ListedEndpoint {
@@ -29,12 +29,16 @@
 fn silent_endpoint_ejects_destination_only_when_all_are_silent() {
     let mut table = table();
     assert_eq!(table.change_state(DESTINATION, 10, LimitState::Silent), None);
-    assert_eq!(table.change_state(DESTINATION, 10, LimitState::Silent), None, "the same one again");
+    assert_eq!(table.change_state(DESTINATION, 10, LimitState::Silent), None, "the same endpoint again");
     let second = table.change_state(DESTINATION, 11, LimitState::Silent);
     assert_eq!(second, destination_changed(LimitState::Ejected));
     let healthy = table.change_state(DESTINATION, 11, LimitState::Healthy);
     assert_eq!(healthy, destination_changed(LimitState::Healthy));
-    assert_eq!(table.change_state(DESTINATION, 11, LimitState::Silent), None, "the first is forgotten");
+    assert_eq!(
+        table.change_state(DESTINATION, 11, LimitState::Silent),
+        None,
+        "endpoint 10 is no longer silent"
+    );
 }
 
 #[test]
--- a/crates/telemetry/src/log_event.rs
+++ b/crates/telemetry/src/log_event.rs
@@ -1,4 +1,4 @@
-//! Events for the log. The wording of the log lines is up to the program.
+//! Events for the operator's log. The program formats the log lines.
 
 use crate::collectd::PacketError;
 use crate::host::{HostNotification, HostStatus};
--- a/crates/telemetry/src/names/tests.rs
+++ b/crates/telemetry/src/names/tests.rs
@@ -13,13 +13,13 @@
     assert_eq!(safe("Sparkasse Köln.Bonn (Mitte)"), "Sparkasse_Koln_Bonn__Mitte_");
     let mut names = SeriesNames::new(100);
     assert_eq!(names.assign(Some("a.b"), 1), newly("a_b"));
-    assert_eq!(names.assign(Some("a b"), 2), newly("a_b-d2"), "made safe they collide");
-    assert_eq!(names.assign(Some("c"), 1), newly("c"), "renamed");
+    assert_eq!(names.assign(Some("a b"), 2), newly("a_b-d2"), "both have the same safe form");
+    assert_eq!(names.assign(Some("c"), 1), newly("c"), "the owner is renamed");
     assert_eq!(names.assign(Some("a.b"), 3), newly("a_b-d3"), "the old name is not assigned again");
-    assert_eq!(names.assign(Some("a.b"), 1), already("a_b"), "but to its owner");
-    assert_eq!(names.assign(Some("d2"), 5).name, "d5", "numbers are reserved");
+    assert_eq!(names.assign(Some("a.b"), 1), already("a_b"), "its owner gets it again");
+    assert_eq!(names.assign(Some("d2"), 5).name, "d5", "`d` and a number is reserved");
     assert_eq!(names.assign(None, 9).name, "d9");
-    // A later one that wants the very name another got by collision.
+    // The wanted name was assigned to another owner after a collision.
     assert_eq!(names.assign(Some("a_b-d2"), 4).name, "a_b-d2-d4");
 }
 
--- a/crates/telemetry/src/notifications.rs
+++ b/crates/telemetry/src/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications of state changes of limits, which are sent to collectd.
+//! Notifications of state changes of destinations and independent routes, which are sent to collectd.
 
 use crate::collectd::Severity;
 use crate::limits::{LimitOwner, StateChange};
@@ -20,13 +20,14 @@
     pub(crate) text: String,
 }
 
-/// Notifications that were not sent yet.
+/// Notifications that were not sent yet, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct NotificationQueue {
     notifications: VecDeque<StateNotification>,
 }
 
 impl NotificationQueue {
+    /// Appends a notification; drops the oldest beyond the maximum number.
     pub(crate) fn push(&mut self, notification: StateNotification) {
         if self.notifications.len() >= MAX_NOTIFICATIONS {
             self.notifications.pop_front();
@@ -34,12 +35,14 @@
         self.notifications.push_back(notification);
     }
 
+    /// Removes and returns all notifications.
     pub(crate) fn take(&mut self) -> VecDeque<StateNotification> {
         std::mem::take(&mut self.notifications)
     }
 }
 
 impl StateNotification {
+    /// Describes a state change. An outage is a failure, recovery (slow start) a warning, full service okay.
     pub(crate) fn new(destination: u32, destination_name: &str, change: StateChange) -> StateNotification {
         let (severity, state) = match change.state {
             LimitState::Healthy => (Severity::Okay, "in service"),
--- a/crates/telemetry/src/recording/tests.rs
+++ b/crates/telemetry/src/recording/tests.rs
@@ -12,7 +12,8 @@
 const CELL: CounterKey = CounterKey::Cell { destination: DESTINATION, class: CLASS };
 const ROUTE: CounterKey = CounterKey::Route { endpoint: ENDPOINT };
 
-/// One class of weight 2 within a second, one destination with one independent route.
+/// One class with a priority weight of 2 and a latency objective of a second, and one destination with one
+/// independent route.
 fn recording() -> Recording {
     let class = Class {
         latency_objective: SECOND,
@@ -36,7 +37,7 @@
     recording
 }
 
-/// What an event adds to the counts of a key.
+/// Returns the counts of a key after a single event.
 fn counted(event: &DeliveryEvent, key: CounterKey) -> Vec<(Field, u64)> {
     let mut recording = recording();
     recording.record(event, &mut Vec::new());
@@ -86,7 +87,7 @@
     let late = counted(&completed(FinalAnswer::Served, 2 * SECOND), CELL);
     assert_eq!(late[0], (Field::Late, 1));
     let weights: u64 = late[1..].iter().map(|(_, weight)| weight).sum();
-    assert_eq!(weights, 2000, "late and lost add up to the full weight: {late:?}");
+    assert_eq!(weights, 2000, "late + lost = full weight: {late:?}");
 }
 
 #[test]
@@ -160,7 +161,7 @@
     let mut outputs = Vec::new();
     recording.record(&attempt_finished(AttemptOutcome::Served), &mut outputs);
     recording.counters.log_if_due(1, &mut outputs);
-    assert_eq!(outputs, [], "clients are not notified of attempts");
+    assert_eq!(outputs, [], "no answer to a client depends on an attempt's count");
     recording.record(&completed(FinalAnswer::Served, SECOND), &mut outputs);
     recording.counters.log_if_due(1, &mut outputs);
     assert!(matches!(&outputs[..], [Output::Append(_)]), "{outputs:?}");
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -5,17 +5,19 @@
 use linnetcart::Time;
 use std::collections::VecDeque;
 
-/// Number of points that are collected or sent at once, which takes some tenths of a millisecond.
+/// Number of points that are collected or sent in one iteration of the event loop, which takes some tenths
+/// of a millisecond.
 pub(crate) const SLICE_POINTS: usize = 256;
-/// Number of points that are collected before the counter log is synced and they are sent.
+/// Number of points of a part: they are collected, the counter log is synced once for them, and they are
+/// sent. It bounds the points held in memory.
 pub(crate) const PART_POINTS: usize = 8192;
 
-/// An item that a report still has to collect.
+/// An item of a report, from which its points are collected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportItem {
     /// The courier's counts and gauges.
     Courier,
-    /// The counts and latencies of a class.
+    /// The counts of a class over all destinations, and its latencies.
     Class(usize),
     /// The limit and latencies of a destination.
     Destination(u32),
@@ -35,10 +37,11 @@
     pub(crate) timestamp: Time,
     /// Length of the interval that the report covers, in seconds.
     pub(crate) seconds: f64,
+    /// Items that are still to be collected.
     pub(crate) items: VecDeque<ReportItem>,
     /// Number of points collected so far, in all parts.
     pub(crate) points_collected: usize,
-    /// Points of the current part.
+    /// Points of the current part: collected, and not sent yet.
     pub(crate) part: VecDeque<Point>,
     pub(crate) phase: ReportPhase,
 }
@@ -78,7 +81,7 @@
         self.part.len() >= PART_POINTS || self.items.is_empty()
     }
 
-    /// Removes and returns the next points of the part to send.
+    /// Removes and returns the next [`SLICE_POINTS`] points of the part, to be sent.
     pub(crate) fn take_slice(&mut self) -> Vec<Point> {
         let count = self.part.len().min(SLICE_POINTS);
         self.part.drain(..count).collect()
@@ -93,7 +96,8 @@
         self.phase == ReportPhase::Complete
     }
 
-    /// Removes the counts of the current part: counts that are not on disk could fall after a power loss.
+    /// Removes the counts from the current part, because its sync failed: counts that are not on disk could
+    /// fall after a power loss.
     pub(crate) fn withhold_counts(&mut self) {
         self.part.retain(|point| !point.value.is_counter());
     }
--- a/crates/telemetry/src/schedule/tests.rs
+++ b/crates/telemetry/src/schedule/tests.rs
@@ -28,7 +28,7 @@
     schedule.configure(SECOND, 0);
     assert_eq!(schedule.next_report(), SECOND);
     schedule.configure(INTERVAL, 0);
-    assert_eq!(schedule.next_report(), SECOND, "a longer one does not put it off");
+    assert_eq!(schedule.next_report(), SECOND, "a longer interval does not delay it");
 }
 
 #[test]
--- a/crates/telemetry/src/selection/tests.rs
+++ b/crates/telemetry/src/selection/tests.rs
@@ -3,6 +3,7 @@
 use crate::counts::Field;
 use crate::{CourierInfo, RestoredState};
 
+/// A recording in which this many cells have changed, one for each destination.
 fn recording(cells: u32) -> Recording {
     let courier = CourierInfo {
         deployment: "test".into(),
@@ -19,6 +20,7 @@
     recording
 }
 
+/// Returns the destinations of the cells in the next report.
 fn selected_cells(selection: &mut ItemSelection, recording: &mut Recording) -> Vec<u32> {
     let mut cells = Vec::new();
     for item in selection.select(recording) {
@@ -35,7 +37,11 @@
     let mut selection = ItemSelection::default();
     recording.counters.log_changes(&mut Vec::new());
     assert_eq!(selected_cells(&mut selection, &mut recording), [0, 1, 2]);
-    assert_eq!(selected_cells(&mut selection, &mut recording), [1], "one of three is refreshed");
+    assert_eq!(
+        selected_cells(&mut selection, &mut recording),
+        [1],
+        "only the round robin selects an unchanged cell"
+    );
 }
 
 #[test]
--- a/crates/telemetry/src/settings/tests.rs
+++ b/crates/telemetry/src/settings/tests.rs
@@ -14,6 +14,7 @@
     serde_json::from_str(DOCUMENT).expect("a document")
 }
 
+/// Returns the field and the text of the error that a change of the document causes.
 fn check(change: impl FnOnce(&mut Telemetry)) -> Option<(String, String)> {
     let mut changed = document();
     change(&mut changed);
@@ -27,7 +28,7 @@
 
 #[test]
 fn document_written_matches_stored_text() {
-    assert_eq!(serde_json::to_string(&document()).expect("it can be written"), DOCUMENT);
+    assert_eq!(serde_json::to_string(&document()).expect("serializable"), DOCUMENT);
 }
 
 #[test]
@@ -75,7 +76,7 @@
 #[test]
 fn hidden_keys_are_restored_when_document_comes_back() {
     let hidden = document().without_keys();
-    let text = serde_json::to_string(&hidden).expect("it can be written");
+    let text = serde_json::to_string(&hidden).expect("serializable");
     assert_eq!(text.matches(r#""(kept)""#).count(), 3, "{text}");
     let mut returned = hidden.clone();
     returned.restore_hidden_keys(Some(&document()));
--- a/crates/telemetry/src/timestamps.rs
+++ b/crates/telemetry/src/timestamps.rs
@@ -1,4 +1,4 @@
-//! Timestamps of reports: the time of the wall clock, but never repeated and never going back.
+//! Timestamps of reports: readings of the wall clock, slewed to stay increasing when it is set back.
 
 use crate::time::SECOND;
 use linnetcart::Time;
@@ -6,8 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-/// If the wall clock was set back by more than this, timestamps follow at once, because the earlier time was
-/// wrong.
+/// If timestamps are ahead of the wall clock by more than this, in nanoseconds, they are stepped back to it
+/// at once, because the earlier time was wrong.
 const MAX_TIME_AHEAD: Time = 24 * 3600 * SECOND;
 
 /// A timestamp of a report.
@@ -22,6 +22,7 @@
 /// Generates the timestamps of a courier's reports.
 #[derive(Clone, Debug)]
 pub struct Timestamps {
+    /// The last timestamp, in nanoseconds since 1970.
     last: Time,
     /// The monotonic clock when the last timestamp was generated.
     last_generated_at: Time,
@@ -38,8 +39,8 @@
         self.last
     }
 
-    /// Returns the next timestamp at these readings of the monotonic and the wall clock. After the wall clock
-    /// was set back, timestamps advance at half its speed until it has caught up.
+    /// Returns the next timestamp at these readings of the monotonic and the wall clock. While the wall clock
+    /// is behind the last timestamp, timestamps advance by max(elapsed / 2, 1 s), so that it catches up.
     pub fn next(&mut self, now: Time, wall: Time) -> Timestamp {
         let time = if wall > self.last || self.last - wall > MAX_TIME_AHEAD {
             wall
--- a/crates/telemetry/src/timestamps/tests.rs
+++ b/crates/telemetry/src/timestamps/tests.rs
@@ -19,9 +19,9 @@
         }
         last = time;
     }
-    assert!((700..=900).contains(&caught_up), "two hours later it is caught up with: {caught_up}");
+    assert!((700..=900).contains(&caught_up), "two hours after an hour's step back, in report {caught_up}");
     let forward = timestamps.next(30_000 * SECOND, 1_100_000 * SECOND).time;
-    assert_eq!(forward, 1_100_000 * SECOND, "forward it is followed at once");
+    assert_eq!(forward, 1_100_000 * SECOND, "a step forward is followed at once");
     let back = timestamps.next(30_010 * SECOND, 900_000 * SECOND).time;
-    assert_eq!(back, 900_000 * SECOND, "a day ahead was wrong");
+    assert_eq!(back, 900_000 * SECOND, "a step back of more than a day is followed at once");
 }
--- a/crates/telemetry/tests/virtual_time/fixture.rs
+++ b/crates/telemetry/tests/virtual_time/fixture.rs
@@ -1,5 +1,5 @@
-//! A simulation of a courier's reporting in virtual time, with a disk, clocks and receivers that can be made
-//! to fail.
+//! A simulation of a courier's reporting in virtual time, with fault injection for its disk, its clock, its
+//! process and its receivers.
 
 use crate::messages::{accepted_message, MessageOutcome};
 use crate::parts::{courier, settings, Crash, Disk, Receiver};
@@ -17,11 +17,12 @@
 use std::collections::BTreeMap;
 
 pub const SECOND: u64 = 1_000_000_000;
-/// The wall clock at the start of a simulation.
+/// The wall clock at the start of a simulation, in nanoseconds since 1970.
 pub const WALL_START: u64 = 1_700_000_000 * SECOND;
-/// Maximum number of times that performing the outputs of an iteration may cause further outputs.
+/// Maximum number of rounds in which the outputs of an iteration are performed; each may cause further
+/// outputs.
 const MAX_OUTPUT_ROUNDS: usize = 10;
-/// Seconds after which every unchanged cell was reported again.
+/// Seconds within which every unchanged cell is reported again: more than 30 reports at 10 s.
 const SETTLE_SECONDS: u64 = 400;
 pub const CLASS_NAMES: [&str; 2] = ["order", "query"];
 pub const LATENCY_OBJECTIVE: u64 = SECOND;
@@ -30,21 +31,26 @@
 pub struct Simulation {
     pub telemetry: Telemetry,
     disk: Disk,
+    /// Whether syncs succeed.
     pub disk_works: bool,
     pub receiver: Receiver,
     /// Everything that collectd received.
     pub collectd: Stream,
+    /// Whether connections to Graphite can be established.
     pub receiver_reachable: bool,
+    /// Whether Graphite reads from its connection.
     pub receiver_reads: bool,
     connected: bool,
     /// Bytes handed to the current connection.
     handed_over: u64,
+    /// The monotonic and the wall clock.
     pub now: u64,
     pub wall: u64,
     pub logged: Vec<LogEvent>,
     random: ChaCha8Rng,
-    /// Independent counts, by the ends of the names of their series.
+    /// The expected counts, by the part of their series' names after the courier.
     pub counted: BTreeMap<String, u64>,
+    /// Maximum size that the send buffer for Graphite reached.
     pub max_waiting_bytes: usize,
 }
 
@@ -86,23 +92,27 @@
         self.telemetry.set_endpoints([10, 11, 20, 21, 30].into_iter().map(entry));
     }
 
+    /// Saves a snapshot and begins a new counter log.
     fn begin_log(&mut self) {
-        self.disk.saved = Some(serde_json::to_vec(&self.telemetry.saved()).expect("it can be written"));
+        self.disk.saved = Some(serde_json::to_vec(&self.telemetry.saved()).expect("serializable"));
         self.disk.log = self.telemetry.log_header();
         self.disk.synced_bytes = self.disk.log.len();
     }
 
-    /// Ends the process without warning, and continues with a new one that reads the disk.
+    /// Replaces the process by a new one that restores its state from what the crash left on the disk.
     pub fn crash(&mut self, crash: Crash) {
         let length = match crash {
             Crash::Process => self.disk.log.len(),
             Crash::PowerLoss => self.disk.synced_bytes,
         };
-        let saved: Option<Saved> =
-            self.disk.saved.as_deref().map(|saved| serde_json::from_slice(saved).expect("it was complete"));
-        let found = RestoredState { saved, logs: vec![self.disk.log[..length].to_vec()] };
+        let saved: Option<Saved> = self
+            .disk
+            .saved
+            .as_deref()
+            .map(|saved| serde_json::from_slice(saved).expect("a complete snapshot"));
+        let stored = RestoredState { saved, logs: vec![self.disk.log[..length].to_vec()] };
         let settings = self.telemetry.settings().clone();
-        self.telemetry = Telemetry::new(courier(3), found, settings, self.now);
+        self.telemetry = Telemetry::new(courier(3), stored, settings, self.now);
         self.connected = false;
         self.handed_over = 0;
         self.receiver.connection_closed();
@@ -125,15 +135,16 @@
         self.telemetry.disconnected(self.now);
     }
 
+    /// Counts an event for the courier, the class, the destination and the cell.
     fn count(&mut self, destination: u32, class: u8, metric: &str) {
         let class = CLASS_NAMES[usize::from(class)];
-        for end in [
+        for suffix in [
             format!("courier.{metric}"),
             format!("class.{class}.{metric}"),
             format!("dest.d{destination}.{metric}"),
             format!("dest.d{destination}.class.{class}.{metric}"),
         ] {
-            *self.counted.entry(end).or_default() += 1;
+            *self.counted.entry(suffix).or_default() += 1;
         }
     }
 
@@ -239,7 +250,7 @@
         self.wall += nanos;
     }
 
-    /// Simulates this many tenths of a second, with a message in each.
+    /// Simulates this many iterations, a tenth of a second apart, with a message in each.
     pub fn run(&mut self, tenths: u64) {
         for _ in 0..tenths {
             self.advance_clocks(SECOND / 10);
@@ -248,7 +259,7 @@
         }
     }
 
-    /// Simulates this many milliseconds, with a message in each.
+    /// Simulates this many iterations, a millisecond apart, with a message in each.
     pub fn run_fast(&mut self, messages: u64) {
         for _ in 0..messages {
             self.advance_clocks(SECOND / 1000);
@@ -257,7 +268,7 @@
         }
     }
 
-    /// Simulates a time without messages, until every series was reported.
+    /// Simulates [`SETTLE_SECONDS`] without messages, so that every counter is reported with its final value.
     pub fn settle(&mut self) {
         for _ in 0..SETTLE_SECONDS {
             self.advance_clocks(SECOND);
--- a/crates/telemetry/tests/virtual_time/main.rs
+++ b/crates/telemetry/tests/virtual_time/main.rs
@@ -1,5 +1,5 @@
-//! Simulations of the reporting in virtual time, with outages, crashes and clock changes. In the end a
-//! receiver must have the independent counts, and no count may ever fall.
+//! Simulations of the reporting in virtual time, with outages, crashes and steps of the wall clock. In the
+//! end the receivers must have the counts that the simulation kept itself, and no counter may ever fall.
 
 mod checks;
 mod fixture;
@@ -47,7 +47,7 @@
     simulation.run(1200);
     simulation.settle();
     simulation.assert_counts_received();
-    assert!(simulation.last_value("courier.points_dropped") > 0.0, "what was dropped is reported");
+    assert!(simulation.last_value("courier.points_dropped") > 0.0, "dropped points are reported");
 }
 
 #[test]
@@ -160,7 +160,7 @@
     simulation.assert_no_regression();
     let accepted = |name: &str| simulation.last_value(&format!("dest.{name}.taken"));
     let expected = simulation.counted["dest.d1.taken"] as f64;
-    assert_eq!(accepted("Bank_Lodz"), expected, "it is the first owner's again");
+    assert_eq!(accepted("Bank_Lodz"), expected, "the first owner gets its name again");
     assert!(accepted("Bank_Lodz-d2") > 0.0 && accepted("Bank_Lodz-d3") > 0.0 && accepted("Other-d3") > 0.0);
 }
 
--- a/crates/telemetry/tests/virtual_time/messages.rs
+++ b/crates/telemetry/tests/virtual_time/messages.rs
@@ -1,4 +1,4 @@
-//! Simulated messages: their outcomes, and the delivery events that they cause.
+//! Simulated messages: their random outcomes, and the delivery events that they cause.
 
 use crate::fixture::SECOND;
 use linnetcart::AttemptOutcome;
@@ -6,6 +6,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
+/// Latencies of messages served within and after the latency objective, in nanoseconds.
 const WITHIN_OBJECTIVE: u64 = SECOND / 9;
 const LATE: u64 = 2 * SECOND;
 
--- a/crates/telemetry/tests/virtual_time/parts.rs
+++ b/crates/telemetry/tests/virtual_time/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a simulation besides the reporting: settings, a receiver and a disk.
+//! The environment of the simulated reporting: settings, a receiver and a disk.
 
 use crate::fixture::{CLASS_NAMES, DEADLINE, LATENCY_OBJECTIVE};
 use linnetcart::{Class, Idempotency};
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub struct Receiver {
     pub stream: Stream,
-    /// Received bytes of the connection that do not form a complete item yet.
+    /// Received bytes of an item (line or frame) that is not complete yet.
     unread: Vec<u8>,
 }
 
@@ -56,15 +56,16 @@
     }
 }
 
-/// The saved document, and a log whose end may not be synced.
+/// The files of a courier's counts: a snapshot, and a counter log whose end may not be synced.
 #[derive(Default)]
 pub struct Disk {
     pub saved: Option<Vec<u8>>,
     pub log: Vec<u8>,
+    /// Length of the part of the log that survives a power loss.
     pub synced_bytes: usize,
 }
 
-/// What ends a process.
+/// What ends a process abruptly.
 #[derive(Clone, Copy)]
 pub enum Crash {
     /// The process is killed: the log is complete.
--- a/crates/telemetry/tests/virtual_time/scale.rs
+++ b/crates/telemetry/tests/virtual_time/scale.rs
@@ -1,4 +1,4 @@
-//! Many couriers, and couriers with many cells.
+//! Behaviour at scale: many couriers, and a courier with many cells.
 
 use crate::fixture::{SECOND, WALL_START};
 use crate::parts::{courier, settings, Receiver};
@@ -76,5 +76,5 @@
     let is_cell =
         |name: &&String| name.contains(".class.c") && name.contains(".dest.") && name.ends_with(".taken");
     let cells = receiver.stream.series.keys().filter(is_cell).count();
-    assert_eq!(cells, 50_000, "every cell had its turn");
+    assert_eq!(cells, 50_000, "every cell was reported");
 }
