--- a/crates/telemetry/src/collectd/decode.rs
+++ b/crates/telemetry/src/collectd/decode.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of values in a list; the types that collectd defines in `types.db` have fewer.
 const MAX_VALUES: usize = 64;
-/// Size of the number of a value.
+/// Size of the numeric part of a value, a 64-bit integer or floating-point number.
 const NUMBER_BYTES: usize = 8;
 /// Size of a value: its type and its number.
 const VALUE_BYTES: usize = 1 + NUMBER_BYTES;
--- a/crates/telemetry/src/graphite.rs
+++ b/crates/telemetry/src/graphite.rs
@@ -60,7 +60,7 @@
 }
 
 /// Returns the name of a point's series.
-pub fn name(source: &MetricSource, point: &Point, style: NameStyle) -> String {
+pub fn series_name(source: &MetricSource, point: &Point, style: NameStyle) -> String {
     match style {
         NameStyle::Paths => path_name(source, point),
         NameStyle::Tags => tagged_name(source, point),
@@ -104,7 +104,7 @@
             Form::Plaintext => encode_plaintext(source, points, time_s, encoding.names),
             Form::Pickle => {
                 let named = points.iter().map(|point| NamedPoint {
-                    name: name(source, point, encoding.names),
+                    name: series_name(source, point, encoding.names),
                     value: point.value.as_f64(),
                     time_s,
                 });
@@ -120,7 +120,7 @@
     let time = time_s.to_string();
     let mut lines = String::new();
     for point in points {
-        let name = name(source, point, names);
+        let name = series_name(source, point, names);
         let value = point.value.to_string();
         lines.extend([name.as_str(), " ", value.as_str(), " ", time.as_str(), "\n"]);
     }
--- a/crates/telemetry/src/graphite/tests.rs
+++ b/crates/telemetry/src/graphite/tests.rs
@@ -17,11 +17,11 @@
         PointValue::Counter(12),
     );
     assert_eq!(
-        name(&source(), &point, NameStyle::Paths),
+        series_name(&source(), &point, NameStyle::Paths),
         "linnetcart.bank_north.edge.3.dest.kolo.class.order.taken"
     );
     assert_eq!(
-        name(&source(), &point, NameStyle::Tags),
+        series_name(&source(), &point, NameStyle::Tags),
         "linnetcart.edge.taken;deployment=bank_north;edge=3;dest=kolo;class=order"
     );
     let half = Point::new(SeriesSubject::Courier, "slots_used", PointValue::Gauge(0.5));
@@ -45,10 +45,10 @@
         SeriesSubject::Route { destination: destination(), endpoint: 7 },
     ];
     let points = subjects.map(|subject| Point::new(subject, "full", PointValue::Counter(1)));
-    let paths = points.each_ref().map(|point| name(&source(), point, NameStyle::Paths));
+    let paths = points.each_ref().map(|point| series_name(&source(), point, NameStyle::Paths));
     let wanted = ["courier", "class.order", "dest.kolo", "dest.kolo.class.order", "dest.kolo.route.7"];
     assert_eq!(paths, wanted.map(|subject| format!("linnetcart.bank_north.edge.3.{subject}.full")));
-    let tagged = points.each_ref().map(|point| name(&source(), point, NameStyle::Tags));
+    let tagged = points.each_ref().map(|point| series_name(&source(), point, NameStyle::Tags));
     let wanted = ["", ";class=order", ";dest=kolo", ";dest=kolo;class=order", ";dest=kolo;route=7"];
     assert_eq!(tagged, wanted.map(|tags| format!("linnetcart.edge.full;deployment=bank_north;edge=3{tags}")));
 }
@@ -73,7 +73,7 @@
         for (count, destination) in values {
             let subject = SeriesSubject::Destination(destination);
             let point = Point::new(subject, "taken", PointValue::Counter(count));
-            let name = name(&source(), &point, NameStyle::Paths);
+            let name = series_name(&source(), &point, NameStyle::Paths);
             expected.push(NamedPoint { name, value: count as f64, time_s });
             points.push(point);
         }
--- a/crates/telemetry/src/names.rs
+++ b/crates/telemetry/src/names.rs
@@ -10,14 +10,14 @@
 
 /// Converts a name for use in a path: it is transliterated to ASCII (`Łódź` becomes `Lodz`), then each
 /// character other than a letter, a digit, `-` and `_` is replaced by `_`.
-pub fn safe(name: &str) -> String {
+pub fn sanitize(name: &str) -> String {
     let ascii = deunicode::deunicode(name);
-    let mut safe: String = ascii.trim().chars().map(safe_character).collect();
-    safe.truncate(MAX_NAME_BYTES);
-    safe
+    let mut sanitized: String = ascii.trim().chars().map(sanitize_character).collect();
+    sanitized.truncate(MAX_NAME_BYTES);
+    sanitized
 }
 
-fn safe_character(character: char) -> char {
+fn sanitize_character(character: char) -> char {
     let is_safe = character.is_ascii_alphanumeric() || character == '-' || character == '_';
     if is_safe {
         character
@@ -60,11 +60,11 @@
     }
 
     /// Returns the name of an owner, and assigns it if necessary. The first of these that is available is
-    /// chosen: the wanted name in its [`safe`] form, that name with `-d` and the owner's number, `d` and the
+    /// chosen: the wanted name in its sanitized form, that name with `-d` and the owner's number, `d` and the
     /// number alone. The last is always available; at the maximum number of names no other is assigned.
     pub fn assign(&mut self, wanted: Option<&str>, owner: u32) -> AssignedName {
         let number = format!("d{owner}");
-        if let Some(wanted) = wanted.map(safe).filter(|name| is_assignable(name)) {
+        if let Some(wanted) = wanted.map(sanitize).filter(|name| is_assignable(name)) {
             let with_number = format!("{wanted}-{number}");
             for candidate in [wanted, with_number] {
                 if let Some(assigned) = self.try_assign(candidate, owner) {
--- a/crates/telemetry/src/names/tests.rs
+++ b/crates/telemetry/src/names/tests.rs
@@ -10,10 +10,10 @@
 
 #[test]
 fn assigned_name_stays_with_first_owner() {
-    assert_eq!(safe("Sparkasse Köln.Bonn (Mitte)"), "Sparkasse_Koln_Bonn__Mitte_");
+    assert_eq!(sanitize("Sparkasse Köln.Bonn (Mitte)"), "Sparkasse_Koln_Bonn__Mitte_");
     let mut names = SeriesNames::new(100);
     assert_eq!(names.assign(Some("a.b"), 1), newly("a_b"));
-    assert_eq!(names.assign(Some("a b"), 2), newly("a_b-d2"), "both have the same safe form");
+    assert_eq!(names.assign(Some("a b"), 2), newly("a_b-d2"), "both have the same sanitized form");
     assert_eq!(names.assign(Some("c"), 1), newly("c"), "the owner is renamed");
     assert_eq!(names.assign(Some("a.b"), 3), newly("a_b-d3"), "the old name is not assigned again");
     assert_eq!(names.assign(Some("a.b"), 1), already("a_b"), "its owner gets it again");
--- a/crates/telemetry/src/points.rs
+++ b/crates/telemetry/src/points.rs
@@ -52,7 +52,7 @@
     fn postpone(&mut self, item: ReportItem) {
         if let ReportItem::Cell(key) = item {
             self.recording.counters.postpone(key);
-            self.selection.postponed(key);
+            self.selection.record_postponed(key);
             self.recording.counters.add(CounterKey::Reports, Field::PointsPostponed, 1);
         }
     }
--- a/crates/telemetry/src/schedule.rs
+++ b/crates/telemetry/src/schedule.rs
@@ -48,7 +48,8 @@
     }
 
     /// Returns whether a report is due. If so, the next one is scheduled at max(due time + interval, now +
-    /// interval / 2), so that late reports neither shift the schedule nor follow each other at once.
+    /// interval / 2): a delay of up to half an interval does not shift the schedule, and two reports are at
+    /// least half an interval apart.
     pub(crate) fn take_due_report(&mut self, now: Time) -> bool {
         if self.next_report > now {
             return false;
--- a/crates/telemetry/src/selection.rs
+++ b/crates/telemetry/src/selection.rs
@@ -24,7 +24,7 @@
 
 impl ItemSelection {
     /// Records that a cell was postponed. The cells of the next report begin with the first one recorded.
-    pub(crate) fn postponed(&mut self, key: CounterKey) {
+    pub(crate) fn record_postponed(&mut self, key: CounterKey) {
         self.first_postponed.get_or_insert(key);
     }
 
--- a/crates/telemetry/src/selection/tests.rs
+++ b/crates/telemetry/src/selection/tests.rs
@@ -62,8 +62,8 @@
     let mut recording = recording(4);
     let mut selection = ItemSelection::default();
     recording.counters.log_changes(&mut Vec::new());
-    selection.postponed(CounterKey::Cell { destination: 2, class: 0 });
-    selection.postponed(CounterKey::Cell { destination: 3, class: 0 });
+    selection.record_postponed(CounterKey::Cell { destination: 2, class: 0 });
+    selection.record_postponed(CounterKey::Cell { destination: 3, class: 0 });
     assert_eq!(selected_cells(&mut selection, &mut recording), [2, 3, 0, 1]);
 }
 
--- a/crates/telemetry/src/series.rs
+++ b/crates/telemetry/src/series.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// What a series measures: the courier or a part of its traffic. Names are safe for paths, see
-/// [`crate::names::safe`].
+/// [`crate::names::sanitize`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SeriesSubject {
     /// The courier.
--- a/crates/telemetry/src/telemetry.rs
+++ b/crates/telemetry/src/telemetry.rs
@@ -66,7 +66,7 @@
         let restored = RestoredCounts::read(&stored, class_names, settings.cells);
         let timestamps = Timestamps::new(restored.last_timestamp_s * SECOND, now);
         let source =
-            MetricSource { deployment: names::safe(&courier.deployment), courier: courier.courier_index };
+            MetricSource { deployment: names::sanitize(&courier.deployment), courier: courier.courier_index };
         let mut random = ChaCha8Rng::seed_from_u64(courier.seed ^ (u64::from(courier.courier_index) << 32));
         let interval = settings.interval_s * SECOND;
         let first_delay = random.random_range(0..interval);
