--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -1,6 +1,6 @@
 //! Connections that behave like TCP: segments arrive in order in each direction, with a delay, and each side
-//! learns separately that the connection ended. A direction may be blocked by a partition; what is sent
-//! meanwhile waits in the sender's system and leaves afterwards.
+//! learns separately that the connection ended. A direction may be blocked by a partition; segments sent
+//! meanwhile are queued at the sender and leave when the partition ends.
 
 mod connection;
 mod faults;
@@ -20,13 +20,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Whether a segment is sent for the first time, or released after it waited for the end of a partition. Its
-/// bytes count only the first time.
+/// Whether a segment is sent for the first time, or released from the queue after a partition. Its bytes are
+/// counted as sent only the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendKind {
-    /// Sent by its sender.
+    /// Sent by the courier, client or endpoint.
     First,
-    /// Released by the system of its sender, after a partition.
+    /// Released from the queue of its sender after a partition.
     Released,
 }
 
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Drops all further data that was sent before the connection broke.
+    /// Marks the surviving data of a broken connection as delivered: all further data of this direction is
+    /// lost.
     pub fn end_surviving_data(&mut self, token: Token, direction: Direction) {
         let connection = self.connections.get_mut(&token);
         if let Some(fraction) = connection.and_then(|connection| connection.surviving_fraction.as_mut()) {
@@ -177,8 +178,9 @@
         }
     }
 
-    /// Sends a segment. Returns when it arrives, or `None` if it waits for the end of a partition. A delay is
-    /// drawn only for a segment that leaves.
+    /// Sends a segment. Returns when it arrives, which is `now + extra_delay + delay` but no earlier than the
+    /// segment before it, or `None` if it is queued until a partition ends. A delay is drawn from `rng` only
+    /// for a segment that is not queued.
     pub fn send(
         &mut self,
         transmission: Transmission<'_>,
@@ -218,17 +220,17 @@
         }
     }
 
-    /// Returns the travel time of the last segment from the courier.
+    /// Returns the travel time of the last segment from the courier, in nanoseconds.
     pub fn last_transit_from_courier(&self, token: Token) -> Time {
         self.courier_stream(token).map_or(0, |stream| stream.last_transit)
     }
 
-    /// Returns the bytes sent by the courier that its system has accepted.
+    /// Returns the bytes sent by the courier that its socket buffer has accepted.
     pub fn bytes_accepted(&self, token: Token) -> u64 {
         self.courier_stream(token).map_or(0, connection::Stream::bytes_accepted)
     }
 
-    /// Returns the bytes sent by the courier that its system has not accepted yet.
+    /// Returns the bytes sent by the courier that do not fit into its socket buffer.
     pub fn backlog(&self, token: Token) -> u64 {
         self.courier_stream(token).map_or(0, connection::Stream::backlog)
     }
@@ -238,8 +240,7 @@
     }
 
     /// Closes one end. Returns whether the other side must be notified. Segments that were sent before still
-    /// arrive, except those that wait for the end of a partition: a connection that is closed during a
-    /// partition breaks.
+    /// arrive, except those queued during a partition, which are lost.
     pub fn close_end(&mut self, token: Token, side: Side) -> bool {
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let other = match side {
--- a/crates/emulator/src/connections/connection.rs
+++ b/crates/emulator/src/connections/connection.rs
@@ -7,21 +7,21 @@
 use linnetcart_scenario::runner::Token;
 use std::collections::VecDeque;
 
-/// Bytes that a host's system accepts for a connection whose other side receives nothing.
+/// Size of a socket's send buffer: the bytes that the sender's kernel accepts while a partition blocks them.
 pub const SOCKET_BUFFER_BYTES: u64 = 256 << 10;
 
 /// What travels on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Segment {
-    /// The connection is requested.
+    /// The connection is requested, as by a TCP SYN.
     Connect,
-    /// The connection is established.
+    /// The connection is established, as by a SYN-ACK.
     Connected,
-    /// The connection is refused, because nobody listens.
+    /// The connection is refused, because nobody listens, as by an RST.
     Refused,
     /// Bytes of the stream.
     Data(Bytes),
-    /// The sender closed its end, or the connection broke.
+    /// The sender closed its end (FIN), or the connection broke (RST).
     Close,
 }
 
@@ -128,14 +128,15 @@
 /// One direction of a connection.
 #[derive(Debug, Default)]
 pub(super) struct Stream {
-    /// When the last segment arrives.
+    /// When the last segment arrives. Later ones arrive no earlier, which keeps them in order.
     pub(super) last_arrival: Time,
+    /// Data bytes sent so far, with those in `queued`.
     pub(super) bytes_sent: u64,
     /// Segments that wait while a partition blocks the direction.
     pub(super) queued: VecDeque<QueuedSegment>,
     /// Number of data bytes in `queued`.
     pub(super) queued_bytes: u64,
-    /// Travel time of the segment that arrived last.
+    /// Travel time of the segment that arrived last, in nanoseconds, with any wait for a partition to end.
     pub(super) last_transit: Time,
 }
 
@@ -152,19 +153,19 @@
         std::mem::take(&mut self.queued)
     }
 
-    /// Drops the queued data: its sender has closed the connection and does not wait for the end of a
-    /// partition.
+    /// Drops all queued segments except a close: their sender has closed the connection and does not wait for
+    /// the end of a partition.
     pub(super) fn drop_queued_data(&mut self) {
         self.queued.retain(|queued| queued.segment == Segment::Close);
         self.queued_bytes = 0;
     }
 
-    /// Returns the bytes that the sender's system has not accepted yet.
+    /// Returns the bytes that do not fit into the sender's socket buffer.
     pub(super) fn backlog(&self) -> u64 {
         self.queued_bytes.saturating_sub(SOCKET_BUFFER_BYTES)
     }
 
-    /// Returns the bytes that the sender's system has accepted.
+    /// Returns the bytes that the sender's socket buffer has accepted, sent or still queued.
     pub(super) fn bytes_accepted(&self) -> u64 {
         self.bytes_sent - self.backlog()
     }
--- a/crates/emulator/src/connections/faults.rs
+++ b/crates/emulator/src/connections/faults.rs
@@ -1,4 +1,4 @@
-//! Network faults that last for a time: partitions and slow couriers, each identified by its number.
+//! Network faults that last for a time: partitions and slowdowns, each identified by the number of its fault.
 
 use super::connection::{Connection, Direction, Peer};
 use linnetcart_conformance::Time;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Couriers whose connections are slow.
+/// Couriers whose connections are slow, with the additional one-way delay in nanoseconds.
 #[derive(Debug)]
 struct Slowdown {
     couriers: Vec<u32>,
@@ -70,7 +70,7 @@
         blocks.any(|block| block.applies_to(connection, direction))
     }
 
-    /// Returns the additional one-way delay of a courier's connections.
+    /// Returns the additional one-way delay of a courier's connections: the sum over all slowdowns in force.
     pub(super) fn extra_delay(&self, courier: u32) -> Time {
         let slowdowns = self.slowdowns.values();
         let applying = slowdowns.filter(|slowdown| slowdown.couriers.contains(&courier));
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -1,11 +1,12 @@
-//! The disk of a host: its snapshot file, and the replacement of that file, which a crash may undo.
+//! The disk of a host: its snapshot file, which is replaced by renaming a new file over it. A crash may undo
+//! a rename that is not durable yet.
 
 use linnetcart_edge::snapshot::{self, Snapshot};
 
 #[cfg(test)]
 mod tests;
 
-/// The effect of a crash on a snapshot write in progress.
+/// Whether a crash during a snapshot write came before or after the rename that replaces the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
     /// The new file had replaced the old one.
@@ -23,7 +24,7 @@
     readable_fraction: f64,
 }
 
-/// A write that is not durable yet, and the file that it replaces.
+/// A snapshot write that is not durable yet, with the file that it replaces, if there was one.
 #[derive(Clone, Debug)]
 struct UnfinishedWrite {
     replaced: Option<SnapshotFile>,
@@ -51,7 +52,7 @@
         self.unfinished = None;
     }
 
-    /// Handles the death of the program, possibly during a write.
+    /// Handles a crash of the program, possibly during a write.
     pub fn crash(&mut self, crash: Crash) {
         let unfinished = self.unfinished.take();
         if let (Some(write), Crash::BeforeRename) = (unfinished, crash) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Makes the bytes beyond this fraction of the snapshot unreadable, as on a failing disk.
+    /// Makes the bytes beyond this fraction of the snapshot (0 to 1) unreadable, as on a failing disk.
     pub fn damage(&mut self, readable_fraction: f64) {
         if let Some(file) = &mut self.file {
             file.readable_fraction = file.readable_fraction.min(readable_fraction.clamp(0.0, 1.0));
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The event queue and the virtual clock that it drives.
+//! The event queue of the discrete-event simulation, and the virtual clock that it drives.
 
 use linnetcart_conformance::Time;
 use std::cmp::{Ordering, Reverse};
@@ -16,7 +16,7 @@
     scheduled: BinaryHeap<Reverse<ScheduledEvent<E>>>,
 }
 
-/// The position of an event in the queue.
+/// The position of an event in the queue: by time, then in the order of scheduling.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventPosition {
     due: Time,
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -17,7 +17,7 @@
 use linnetcart_edge::core::{ClientId, Core, Output, StartOptions};
 use linnetcart_edge::delivery_events::DeliveryEvent;
 
-/// Longest interval between two polls of an idle event loop.
+/// Longest interval between two polls of an idle event loop, in nanoseconds.
 const MAX_POLL_INTERVAL: Time = 10_000_000;
 
 /// One incarnation of the program on a courier's host. Each start of the program begins the next incarnation.
@@ -40,7 +40,7 @@
     pub rejected_clients: Vec<ClientId>,
     /// Replies of the control interface.
     pub control_replies: Vec<Result<(), String>>,
-    /// Duration of the iteration.
+    /// Duration of the iteration, in nanoseconds.
     pub duration: Time,
 }
 
@@ -54,13 +54,15 @@
     program: Program,
     inbox: Vec<Input>,
     clock: HostClock,
+    /// When the last iteration began.
     last_iteration: Time,
-    /// When the last iteration ends.
+    /// When the last iteration ends; the next one begins no earlier.
     busy_until: Time,
     stalled_since: Option<Time>,
     /// The start of the earliest stall that ended since the last iteration.
     previous_stall: Option<Time>,
     draining: bool,
+    /// When the last snapshot write ends; a crash before that may undo it.
     snapshot_write_until: Time,
 }
 
@@ -105,8 +107,8 @@
         self.inbox.push(input);
     }
 
-    /// Returns when the event loop has to run next if no further input arrives, or `None` if it does not have
-    /// to.
+    /// Returns when the event loop has to run next if no further input arrives, or `None` if the process is
+    /// suspended or has nothing to do.
     pub fn next_iteration_due(&self) -> Option<Time> {
         if self.is_stalled() {
             return None;
@@ -193,8 +195,10 @@
         result
     }
 
-    /// Returns the earliest time at which an input of this iteration can have arrived, on the host's own
-    /// clock. An idle loop polls its connections repeatedly, unless the process is suspended.
+    /// Returns the earliest time at which an input of this iteration can have arrived, on the host's
+    /// monotonic clock: the last poll before it. An idle loop polls its sockets at least every
+    /// [`MAX_POLL_INTERVAL`] until the process is suspended; otherwise the last poll was at the beginning of
+    /// the last iteration.
     fn earliest_arrival(&mut self, now: Time) -> Time {
         let polled_until = self.previous_stall.take().unwrap_or(now);
         let was_polling = polled_until > self.busy_until + MAX_POLL_INTERVAL;
--- a/crates/emulator/src/host/clock.rs
+++ b/crates/emulator/src/host/clock.rs
@@ -2,16 +2,17 @@
 
 use linnetcart_conformance::Time;
 
-/// The true wall-clock time when a run begins: a moment in November 2023, in nanoseconds since 1970.
+/// The true wall-clock time when a run begins: 2023-11-14 22:13:20 UTC, in nanoseconds since 1970.
 pub const WALL_CLOCK_START: Time = 1_700_000_000 * 1_000_000_000;
-/// Least reading of a monotonic clock when a program starts.
+/// Lowest reading of a monotonic clock when a program starts: one hour, in nanoseconds.
 const MONOTONIC_START: Time = 3600 * 1_000_000_000;
 const PARTS_PER_MILLION: i128 = 1_000_000;
 
 /// How the clocks of a host deviate from the network's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockDeviation {
-    /// How far the monotonic clock is ahead of its earliest possible reading when the program starts.
+    /// How far the monotonic clock is ahead of its lowest possible reading when the program starts, in
+    /// nanoseconds.
     pub monotonic_ahead: Time,
     /// Drift of the monotonic clock in parts per million; positive if it runs fast.
     pub drift_ppm: i64,
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Returns the reading of the monotonic clock at a time of the network's clock.
+    /// Returns the reading of the monotonic clock at a time of the network's clock: the initial reading plus
+    /// `elapsed · (1 + drift_ppm / 10⁶)`.
     pub(super) fn monotonic(&self, now: Time) -> Time {
         let elapsed = now.saturating_sub(self.started_at);
         let drift = (i128::from(elapsed) * i128::from(self.drift_ppm) / PARTS_PER_MILLION) as i64;
@@ -52,7 +54,8 @@
         (WALL_CLOCK_START + now).saturating_add_signed(self.wall_offset)
     }
 
-    /// Returns the time of the network's clock at which the monotonic clock has reached this reading.
+    /// Returns the time of the network's clock at which the monotonic clock has reached this reading; the
+    /// inverse of [`HostClock::monotonic`].
     pub(super) fn time_of_reading(&self, reading: Time) -> Time {
         let elapsed_here = reading.saturating_sub(self.initial_reading);
         let rate = (PARTS_PER_MILLION + i128::from(self.drift_ppm)).max(1);
--- a/crates/emulator/src/host/input.rs
+++ b/crates/emulator/src/host/input.rs
@@ -18,7 +18,7 @@
     ClientReceived(ClientId, Bytes),
     /// A client disconnected.
     ClientDisconnected(ClientId),
-    /// This many bytes for a client are not accepted by the host's system yet.
+    /// The socket's send buffer is full: this many bytes for a client wait outside it.
     ClientBacklog(ClientId, usize),
     /// A connection to an endpoint was established.
     UpstreamConnected(UpstreamId),
@@ -28,7 +28,7 @@
     UpstreamDisconnected {
         /// The connection.
         upstream: UpstreamId,
-        /// Bytes for the endpoint that the host's system had accepted.
+        /// Bytes for the endpoint that the socket's send buffer had accepted.
         bytes_written: u64,
     },
     /// Bytes arrived from an endpoint.
@@ -95,6 +95,7 @@
             body: body.into(),
             connection: ConnectionHeader::Close,
         };
+        // Only the snapshot that this document causes may be undone by a crash, not the earlier ones.
         disk.sync();
         let reply = self.program.handle(&request, &mut |snapshot| {
             disk.save(snapshot);
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -15,12 +15,12 @@
     /// Durations of the work of a courier's event loop.
     #[serde(rename = "pace")]
     pub loop_costs: LoopCosts,
-    /// One-way delay of the network.
+    /// One-way delay of a segment.
     pub delay: DelayDistribution,
-    /// Largest drift of a monotonic clock, in parts per million.
+    /// Largest drift of a monotonic clock, fast or slow, in parts per million.
     #[serde(rename = "drift")]
     pub max_clock_drift_ppm: i64,
-    /// Largest difference between the monotonic clocks of two hosts.
+    /// Largest difference between the monotonic clocks of two hosts when their programs start.
     #[serde(rename = "apart")]
     pub max_clock_difference: Time,
 }
@@ -37,7 +37,9 @@
     }
 }
 
-/// Durations of the work of a courier's event loop.
+/// Durations of the work of a courier's event loop, in nanoseconds. An iteration takes
+/// `per_iteration + items · per_item`, where items are inputs and outputs, plus `snapshot_write` for each
+/// control document.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoopCosts {
@@ -52,7 +54,8 @@
     pub snapshot_write: Time,
 }
 
-/// Distribution of a delay: a minimum plus an exponentially distributed part.
+/// Distribution of a delay in nanoseconds: `minimum` plus an exponentially distributed part of mean
+/// `mean_extra`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DelayDistribution {
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -22,18 +22,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// One-way delay between the scenario and a control interface.
+/// One-way delay between the scenario and the control interface of a courier, in nanoseconds.
 const CONTROL_DELAY: Time = 200_000;
 /// The port of every endpoint and courier.
 const PORT: u16 = 9092;
-/// The first byte of every endpoint's address. The other bytes are the endpoint's number.
+/// The first byte of every endpoint's address, 10.x.y.z. The other bytes are the endpoint's number.
 const ADDRESS_PREFIX: u8 = 10;
-/// Separates the random numbers of the network from all others.
+/// XORed with the seed of the fleet, to seed the generator of delays, broken connections and crashes apart
+/// from all others.
 const NETWORK_SEED_MASK: u64 = 0x3e7;
-/// Separates the random numbers of the hosts' clocks from all others.
+/// XORed with the seed of the fleet, to seed the generator of clock deviations apart from all others.
 const CLOCK_SEED_MASK: u64 = 0xc10c;
 
-/// An event of the network for the scenario.
+/// A network event that the scenario has to process.
 #[derive(Debug)]
 pub enum ScenarioInput {
     /// A courier connected to an endpoint.
@@ -58,7 +59,7 @@
     ControlReply {
         /// The courier.
         courier: u32,
-        /// The incarnation that the document was put to.
+        /// The incarnation that the document was sent to.
         incarnation: u32,
         /// `Ok` if the document was accepted, otherwise the reason why not.
         reply: Result<(), String>,
@@ -76,7 +77,7 @@
     pub digest: String,
     /// Number of events processed.
     pub events: u64,
-    /// The network's clock at the end.
+    /// The network's clock at the end, in nanoseconds.
     pub virtual_time: Time,
     /// The highest number of connections open at the same time.
     pub peak_connections: usize,
@@ -86,7 +87,7 @@
 enum Event {
     /// The event loop of a courier runs.
     Iteration { courier: u32 },
-    /// A segment arrives.
+    /// A segment that was sent at `sent_at` arrives.
     Arrival { token: Token, direction: Direction, segment: Segment, sent_at: Time },
     /// A document arrives at a control interface.
     ControlPut { program: CourierIncarnation, path: &'static str, body: String },
@@ -118,8 +119,8 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(ADDRESS_PREFIX, high, middle, low)), PORT)
 }
 
-/// Returns the endpoint with this address, or a number that no endpoint has if the address is not that of an
-/// endpoint.
+/// Returns the endpoint at an address: the lower 24 bits of an IPv4 address, and for an IPv6 address a number
+/// that no endpoint has.
 fn endpoint_at(address: SocketAddr) -> u32 {
     match address.ip() {
         IpAddr::V4(ip) => u32::from_be_bytes(ip.octets()) & 0x00ff_ffff,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Returns the clock of the network.
+    /// Returns the time of the network's clock, in nanoseconds since the run began.
     pub fn now(&self) -> Time {
         self.events.now()
     }
@@ -210,8 +211,8 @@
         self.transmit_as(SendKind::First, sent_at, token, direction, segment);
     }
 
-    /// Sends a segment that its sender sent at `sent_at`, which is earlier than now if it waited for the end
-    /// of a partition.
+    /// Sends a segment now. Its sender sent it at `sent_at`, which is earlier if the segment was queued until
+    /// a partition ended.
     fn transmit_as(
         &mut self,
         kind: SendKind,
@@ -234,7 +235,8 @@
         }
     }
 
-    /// Records a connection that ends as a failed connect if its endpoint never sent anything.
+    /// Records a connection that ends as a failed connect, if the courier never received data from its
+    /// endpoint.
     fn record_if_connect_failed(&mut self, token: Token) {
         let Some(connection) = self.connections.get(token) else { return };
         if connection.courier_received_data {
--- a/crates/emulator/src/network/arrivals.rs
+++ b/crates/emulator/src/network/arrivals.rs
@@ -36,7 +36,7 @@
         segment: Segment,
     ) -> Option<ScenarioInput> {
         self.add_to_digest(token, direction, &segment);
-        let segment = self.cut_to_surviving(token, direction, segment)?;
+        let segment = self.truncate_if_broken(token, direction, segment)?;
         let connection = self.connections.get(token)?;
         if !connection.is_receiver_open(direction) {
             return None;
@@ -62,9 +62,14 @@
         self.digest.update(data);
     }
 
-    /// Returns what arrives of a segment on a connection that may have broken. After a break, only a part of
-    /// the next data and the end of the connection arrive.
-    fn cut_to_surviving(&mut self, token: Token, direction: Direction, segment: Segment) -> Option<Segment> {
+    /// Returns what arrives of a segment on a connection that may have broken. After a break, only a prefix
+    /// of the next data segment and the close arrive.
+    fn truncate_if_broken(
+        &mut self,
+        token: Token,
+        direction: Direction,
+        segment: Segment,
+    ) -> Option<Segment> {
         let connection = self.connections.get(token)?;
         let Some(fraction) = connection.surviving_fraction(direction) else { return Some(segment) };
         match segment {
@@ -124,7 +129,7 @@
     ) -> Option<Input> {
         match segment {
             Segment::Connect if self.is_accepting(program) => {
-                // The host's system accepts the connection, even if the program is suspended.
+                // The kernel completes the handshake, even if the process is suspended.
                 self.transmit(token, Direction::FromCourier, Segment::Connected);
                 Some(Input::ClientConnected(client))
             }
--- a/crates/emulator/src/network/hosts.rs
+++ b/crates/emulator/src/network/hosts.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Runs the iteration that is due now, unless an earlier one replaced it.
+    /// Runs the iteration that is due now. Does nothing if the event is outdated, because the iteration was
+    /// rescheduled to an earlier time.
     pub(super) fn run_iteration(&mut self, courier: u32) {
         let now = self.now();
         let Some(host) = self.hosts.get_mut(&courier) else { return };
@@ -101,7 +102,7 @@
         match output {
             Output::ToClient(client, bytes) => self.send_to_client(program, client, bytes),
             Output::CloseClient(client) => self.close_client(courier, client),
-            // Reading is not paused here: the courier's own limits must hold without it.
+            // Reading is not paused: the limits of the courier must hold without backpressure on its clients.
             Output::PauseClient(_) | Output::ResumeClient(_) => {}
             Output::Connect(upstream, address) => self.connect(program, upstream, address),
             Output::ToUpstream(upstream, bytes) => {
--- a/crates/emulator/src/network/transport.rs
+++ b/crates/emulator/src/network/transport.rs
@@ -12,7 +12,7 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// The incarnation of connections to a courier that is down. No courier ever has it.
+/// The incarnation of connections to a courier that is down. No courier reaches it, so they are refused.
 const NO_INCARNATION: u32 = u32::MAX;
 
 impl Network<'_> {
@@ -35,8 +35,8 @@
         ClockDeviation { monotonic_ahead, drift_ppm, wall_offset }
     }
 
-    /// Breaks this fraction of the connections of these couriers. Part of the data under way still arrives,
-    /// truncated at any byte.
+    /// Breaks each connection of these couriers with probability `share`. Part of the data in flight still
+    /// arrives, truncated at any byte.
     fn break_connections(&mut self, couriers: &[u32], share: f64) {
         for &courier in couriers {
             for token in self.connections.of_courier(courier) {
@@ -55,7 +55,7 @@
         self.transmit(token, Direction::FromCourier, Segment::Close);
     }
 
-    /// Sends the segments of a stream that waited for the end of a partition.
+    /// Sends the segments of a stream that were queued during a partition.
     fn release(&mut self, stream: StreamId) {
         let StreamId { token, direction } = stream;
         for queued in self.connections.release(stream) {
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -11,12 +11,13 @@
 use std::error::Error;
 
 const SECOND: Time = 1_000_000_000;
-/// Time limit for the couriers to become ready.
+/// Limit of the virtual time in which the couriers must become ready.
 const STARTUP_TIMEOUT: Time = 20 * SECOND;
-/// How long couriers continue with the messages in flight after their graceful shutdown began.
+/// How long couriers continue with the messages in flight after their graceful shutdown began, in virtual
+/// time.
 const DRAIN_TIMEOUT: Time = 10 * SECOND;
-/// Time limit for the shutdown of the couriers. It exceeds [`DRAIN_TIMEOUT`] because the last answers have to
-/// arrive.
+/// Limit of the virtual time in which the couriers must shut down. It exceeds [`DRAIN_TIMEOUT`] because the
+/// last answers have to arrive.
 const SHUTDOWN_TIMEOUT: Time = 12 * SECOND;
 
 /// The options of a run, besides its fleet.
@@ -53,7 +54,7 @@
     pub trace: Option<DeliveryTrace>,
 }
 
-/// Whether the emulation had anything to process.
+/// Whether a step of the emulation had an event or timer to process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Processed,
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -5,10 +5,10 @@
 use linnetcart_edge::delivery_events::DeliveryEvent;
 use std::collections::BTreeMap;
 
-/// A delivery event with its time and place.
+/// A delivery event, with its time and the courier that it happened in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TracedEvent {
-    /// When the event happened.
+    /// When the event loop iteration of the event began, in nanoseconds.
     pub at: Time,
     /// The courier.
     pub courier: u32,
@@ -18,7 +18,7 @@
     pub event: DeliveryEvent,
 }
 
-/// The number of a message in one incarnation of a courier.
+/// A message of one incarnation of a courier, by the courier's own number for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LocalMessage {
     program: CourierIncarnation,
@@ -30,7 +30,7 @@
 pub struct DeliveryTrace {
     /// The message that is traced; `None` for all messages.
     traced_message: Option<u64>,
-    /// The names of the traced messages by their numbers in the couriers.
+    /// The names of the traced messages, which all couriers share, by each courier's own number for them.
     names: BTreeMap<LocalMessage, u64>,
     /// The events in order.
     pub events: Vec<TracedEvent>,
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -1,5 +1,4 @@
-//! Scenarios in virtual time: they are deterministic, satisfy the invariants, and cause the faults that they
-//! name.
+//! Scenarios in virtual time are deterministic, satisfy the invariants, and cause the faults in their names.
 
 use linnetcart_conformance::{check, Answer, Arrival, EndpointVerdict, Report, Submission};
 use linnetcart_edge::delivery_events::{DeliveryEvent, FinalAnswer};
@@ -40,13 +39,13 @@
 #[test]
 fn runs_of_the_same_seed_on_different_threads_have_the_same_digest() {
     let digest = |seed: u64| run(&fleet("links-cut", 8, seed), Options::default()).unwrap().digest;
-    let alone: Vec<String> = (1..=3).map(digest).collect();
-    let beside: Vec<String> = std::thread::scope(|scope| {
+    let sequential: Vec<String> = (1..=3).map(digest).collect();
+    let concurrent: Vec<String> = std::thread::scope(|scope| {
         let threads: Vec<_> = (1..=3).map(|seed| scope.spawn(move || digest(seed))).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    assert_eq!(alone, beside);
-    assert_ne!(alone[0], alone[1], "another seed is another run");
+    assert_eq!(sequential, concurrent);
+    assert_ne!(sequential[0], sequential[1], "another seed is another run");
 }
 
 #[test]
@@ -71,13 +70,13 @@
         let model = Model { max_clock_difference, max_clock_drift_ppm, ..Model::default() };
         run(&fleet, Options { model, ..Options::default() }).unwrap()
     };
-    let together = run_with(0, 0);
-    assert_eq!(together.digest, run_with(9_000_000_000, 0).digest, "clocks that differ by seconds");
+    let equal_clocks = run_with(0, 0);
+    assert_eq!(equal_clocks.digest, run_with(9_000_000_000, 0).digest, "clocks that differ by seconds");
     let service =
         |run: &EmulatedRun| check(&run.records.records, &fleet.invariants(Timebase::Emulated)).service;
     let drifting = run_with(9_000_000_000, 500);
-    assert_ne!(together.digest, drifting.digest);
-    assert!((service(&together) - service(&drifting)).abs() < 0.02);
+    assert_ne!(equal_clocks.digest, drifting.digest);
+    assert!((service(&equal_clocks) - service(&drifting)).abs() < 0.02);
 }
 
 fn summary(traced: &TracedEvent) -> String {
