--- a/crates/testbed/src/baselines.rs
+++ b/crates/testbed/src/baselines.rs
@@ -1,12 +1,12 @@
-//! Baseline policies: what a courier without the decision library would do. They are compared with the
-//! library and are no part of the product.
+//! Baseline policies: simple delivery policies that a courier without the decision library might have. They
+//! are compared with the library and are not part of the product.
 
 mod round_robin;
 
 use linnetcart_edge::core::{library, PolicyFactory};
 use round_robin::{Retries, RoundRobin};
 
-/// Names of the policies, the library's first.
+/// Names of all policies, the library's first.
 pub const NAMES: [&str; 3] = ["library", "one-try", "round-robin"];
 
 /// Returns the policy of this name, or `None` if there is no such policy.
--- a/crates/testbed/src/baselines/round_robin.rs
+++ b/crates/testbed/src/baselines/round_robin.rs
@@ -1,4 +1,5 @@
-//! A policy that sends messages round robin, first come first served, with one attempt at a time.
+//! A policy that sends messages first come first served, round robin over the ready endpoints of their
+//! destination, with one attempt of a message at a time.
 //!
 //! It retries with exponential backoff where the class allows it, respects Retry-After and ordering keys, and
 //! gives up shortly before the deadline. It never hedges, ejects endpoints, or tracks their limits.
@@ -10,8 +11,9 @@
 use linnetcart_edge::core::DecisionPolicy;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The backoff before the first retry, in nanoseconds; it doubles with each attempt.
-const INITIAL_BACKOFF: Time = 100_000_000;
+/// Base of the exponential backoff, in nanoseconds. After attempt n, counted from 1, a retry waits
+/// `BASE_BACKOFF * 2^min(n, MAX_BACKOFF_DOUBLINGS)`, without jitter: 200 ms to 6.4 s.
+const BASE_BACKOFF: Time = 100_000_000;
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Messages are given up this many ticks before their deadline.
 const GIVE_UP_TICKS: Time = 2;
@@ -33,13 +35,13 @@
     class: usize,
     deadline: Time,
     attempts: u32,
-    /// When the first attempt ended that may have been executed, or `None` if there was none.
+    /// When the first attempt ended that an endpoint may have executed; `None` if there was none.
     possibly_executed_since: Option<Time>,
     is_in_flight: bool,
-    /// The backoff or Retry-After ends at this time.
+    /// No attempt starts before this time, the end of the backoff or Retry-After.
     not_before: Time,
     ordering_key: u64,
-    /// Its position in the queue; a retry waits at the same position.
+    /// The position in the queue, by order of acceptance. A retry has the position of the first attempt.
     position: u64,
 }
 
@@ -62,12 +64,13 @@
     settings: Settings,
     retries: Retries,
     endpoints: BTreeMap<u32, KnownEndpoint>,
-    /// Number of attempts to each destination so far.
+    /// Number of attempts to each destination so far, which selects the next endpoint.
     attempts_by_destination: BTreeMap<u32, usize>,
     messages: BTreeMap<u32, Message>,
     /// Messages that wait to be sent.
     queue: BTreeSet<QueueEntry>,
-    /// The message that each ordering key is reserved by; later messages of the key wait until it has ended.
+    /// For each ordering key, the message that was attempted and is neither completed nor given up. Other
+    /// messages of the key wait for it.
     reserved_keys: BTreeMap<u64, u32>,
     last_position: u64,
     calls_in_flight: u32,
@@ -155,7 +158,7 @@
             AttemptOutcome::Rejected { retry_after } => retry_after,
             _ => 0,
         };
-        let backoff = INITIAL_BACKOFF << message.attempts.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = BASE_BACKOFF << message.attempts.min(MAX_BACKOFF_DOUBLINGS);
         message.not_before = now + backoff.max(retry_after);
         let entry = QueueEntry { position: message.position, message: id };
         if result.completed {
@@ -174,7 +177,9 @@
             && self.is_safe_to_repeat(message, now)
     }
 
-    /// Whether a further attempt cannot execute the message a second time, as far as its class promises.
+    /// Whether another attempt is safe by the idempotency of the message's class. With an idempotency key,
+    /// the attempt must arrive before the endpoints forget the key, even if it has to connect first:
+    /// `now + wait + connect_timeout < possibly_executed_since + dedup_window`.
     fn is_safe_to_repeat(&self, message: &Message, now: Time) -> bool {
         let Some(possibly_executed_since) = message.possibly_executed_since else { return true };
         match self.settings.classes[message.class].idempotency {
@@ -188,15 +193,15 @@
         }
     }
 
-    /// Ends a message: rejects it if its client may submit it again, and fails it if it may have been
-    /// executed.
+    /// Gives up a message: rejects it if its client may safely submit it again, otherwise fails it, because
+    /// it may have been executed.
     fn give_up(&mut self, id: u32, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else { return };
         let idempotency = self.settings.classes[message.class].idempotency;
         let is_repeatable =
             matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { per_zone: false, .. });
-        let was_never_sent = message.possibly_executed_since.is_none() && !message.is_in_flight;
-        if is_repeatable || was_never_sent {
+        let is_not_executed = message.possibly_executed_since.is_none() && !message.is_in_flight;
+        if is_repeatable || is_not_executed {
             actions.push(Action::Reject { message: id, retry_after: 0 });
         } else {
             actions.push(Action::Fail { message: id });
@@ -204,7 +209,7 @@
         self.forget(id);
     }
 
-    /// Gives up the messages whose deadline is too close for another attempt.
+    /// Gives up the messages within [`GIVE_UP_TICKS`] ticks of their deadline.
     fn give_up_expired(&mut self, now: Time, actions: &mut Vec<Action>) {
         let latest = now + GIVE_UP_TICKS * self.settings.tick;
         let expired = self.messages.iter().filter(|(_, message)| message.deadline <= latest);
@@ -214,6 +219,7 @@
         }
     }
 
+    /// Sends queued messages in order of acceptance, as far as the limit of calls in flight allows.
     fn send_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         for entry in self.queue.clone() {
             if self.calls_in_flight >= self.settings.max_in_flight_calls {
@@ -260,7 +266,8 @@
         Some(endpoint)
     }
 
-    /// Returns the time of the next decision if no event comes before, or `None` when no message is pending.
+    /// Returns when to decide next if no event comes before: at the earliest end of a backoff or time to give
+    /// up a message. Returns `None` if there is no message.
     fn next_wakeup(&self, now: Time) -> Option<Time> {
         let give_up_before = GIVE_UP_TICKS * self.settings.tick;
         let give_ups = self.messages.values().map(|message| message.deadline - give_up_before);
--- a/crates/testbed/src/bench_scenario.rs
+++ b/crates/testbed/src/bench_scenario.rs
@@ -1,5 +1,6 @@
-//! Converts scenarios of the bench. Faults are copied with their times, parts and sizes; the fleet and
-//! traffic are those of a built-in scenario.
+//! Converts scenarios of the bench, which are JSON, to scenarios of the testbed. Faults keep their times and
+//! the fraction of the fleet that they affect, and their sizes are converted to the testbed's units; fleet
+//! and traffic are those of a built-in scenario.
 
 use anyhow::{ensure, Context};
 use linnetcart_scenario::scenario::{FaultKind, FaultSpec, Scenario};
@@ -9,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The bench writes times in microseconds.
+/// Times of the bench are in microseconds, those of scenarios in seconds.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 /// The built-in scenario whose fleet and traffic are used.
 const BASE_SCENARIO: &str = "quiet";
@@ -17,8 +18,11 @@
 /// A scenario as the bench writes it; fields that are not converted are ignored.
 #[derive(Debug, Deserialize)]
 struct BenchScenario {
+    /// Duration, in microseconds.
     length: u64,
+    /// The servers, which correspond to endpoints.
     servers: Vec<IgnoredAny>,
+    /// The balancers, which correspond to couriers.
     balancers: Vec<IgnoredAny>,
     troubles: Vec<BenchFault>,
 }
@@ -34,16 +38,16 @@
     /// The strength of the fault; its unit depends on the kind.
     #[serde(default)]
     size: f64,
-    /// A second figure of some kinds.
+    /// A second parameter of some kinds; its unit depends on the kind.
     #[serde(default)]
     extra: f64,
     /// The numbers of the servers or balancers that are affected.
     #[serde(default)]
     on: Vec<u32>,
-    /// The class that is affected.
+    /// The number of the class that is affected.
     #[serde(default)]
     which: u32,
-    /// How servers that are down fail.
+    /// How servers that are down fail, for example `silence` or `reset`.
     #[serde(default)]
     how: Option<String>,
 }
@@ -53,19 +57,19 @@
 pub struct ConvertedScenario {
     /// The scenario.
     pub scenario: Scenario,
-    /// Descriptions of the faults that were left out, because they cannot be caused on sockets.
+    /// Descriptions of the faults that were left out, because scenarios have no such fault.
     pub unsupported: Vec<String>,
 }
 
 /// Converts the JSON text of a bench scenario.
 ///
 /// # Errors
-/// Fails if the text is no bench scenario, has no servers or balancers, or describes an invalid scenario.
+/// Fails if the text is not a bench scenario, has no servers or balancers, or gives an invalid scenario.
 pub fn convert(text: &str) -> anyhow::Result<ConvertedScenario> {
     let bench: BenchScenario =
-        serde_json::from_str(text).context("this is no day as the bench draws them")?;
+        serde_json::from_str(text).context("not a scenario in the JSON format of the bench")?;
     let has_all = !bench.servers.is_empty() && !bench.balancers.is_empty();
-    ensure!(has_all, "the day has no servers or no couriers");
+    ensure!(has_all, "the scenario has no servers or no balancers");
     let mut scenario = Scenario::find(BASE_SCENARIO)?;
     scenario.name = "bench".into();
     scenario.about = "Troubles of a bench day.".into();
@@ -75,7 +79,7 @@
         match fault.convert(&bench) {
             Some(converted) => scenario.faults.push(converted),
             None => unsupported.push(format!(
-                "{} at {:.1} s: there is no such trouble on sockets",
+                "{} at {:.1} s: scenarios have no fault of this kind",
                 fault.kind,
                 fault.starts_at()
             )),
@@ -85,7 +89,7 @@
     Ok(ConvertedScenario { scenario, unsupported })
 }
 
-/// A fault without its times.
+/// A converted fault without its times, see [`FaultSpec`].
 struct FaultShape {
     kind: FaultKind,
     part: f64,
@@ -94,12 +98,12 @@
 }
 
 impl FaultShape {
-    /// A fault of a part of the fleet, without further figures.
+    /// Creates a fault of a fraction of the endpoints or couriers, with size and extra figure 0.
     fn new(kind: FaultKind, part: f64) -> FaultShape {
         FaultShape { kind, part, size: 0.0, extra: 0.0 }
     }
 
-    /// A fault of the whole fleet, without further figures.
+    /// Creates a fault of all endpoints or couriers, with size and extra figure 0.
     fn of_all(kind: FaultKind) -> FaultShape {
         FaultShape::new(kind, 1.0)
     }
@@ -114,21 +118,23 @@
 }
 
 impl BenchFault {
+    /// Returns the start, in seconds.
     fn starts_at(&self) -> f64 {
         self.at as f64 / MICROSECONDS_PER_SECOND
     }
 
+    /// Returns the duration, in seconds.
     fn lasts(&self) -> f64 {
         self.len as f64 / MICROSECONDS_PER_SECOND
     }
 
-    /// The part of all servers or balancers that the fault affects, 0 to 1.
+    /// Returns the fraction of all servers or balancers that the fault affects, 0 to 1.
     fn part_of(&self, all: &[IgnoredAny]) -> f64 {
         (self.on.len() as f64 / all.len().max(1) as f64).clamp(0.0, 1.0)
     }
 
-    /// The size in the scenario's unit. A size above `if_above` is in a smaller unit and is divided by
-    /// `divisor`.
+    /// Returns the size in the scenario's unit. A size above `if_above` is taken to be in a smaller unit and
+    /// divided by `divisor`.
     fn size_in(&self, divisor: f64, if_above: f64) -> f64 {
         if self.size > if_above {
             self.size / divisor
@@ -153,7 +159,7 @@
         })
     }
 
-    /// Converts faults of endpoints and of their shared limits; `part` is the part of the endpoints affected.
+    /// Converts faults of endpoints and of their shared limits; `part` is the fraction of endpoints affected.
     fn endpoint_fault(&self, part: f64) -> Option<FaultShape> {
         let size = self.size;
         let shape = match self.kind.as_str() {
@@ -194,8 +200,8 @@
         Some(shape)
     }
 
-    /// Converts faults of traffic, of the endpoint list and of couriers; `couriers` is the part of them
-    /// affected.
+    /// Converts faults of traffic, of the endpoint list and of couriers; `couriers` is the fraction of
+    /// couriers affected.
     fn other_fault(&self, couriers: f64) -> Option<FaultShape> {
         let size = self.size;
         let shape = match self.kind.as_str() {
--- a/crates/testbed/src/bench_scenario/tests.rs
+++ b/crates/testbed/src/bench_scenario/tests.rs
@@ -31,8 +31,8 @@
     Expected { bench_kind, kind, part, size, extra }
 }
 
-/// Part, size and extra figure of a fault of every kind that is on one of 4 servers or 2 balancers, with size
-/// 2000, extra 0.4 and class 5, for 3 seconds.
+/// Expected part, size and extra figure for each kind of bench fault that affects one of 4 servers or 2
+/// balancers, with size 2000, extra 0.4 and class 5, for 3 seconds.
 const EXPECTED: [Expected; 21] = [
     expected("fast_errors", FaultKind::Errors, [0.25, 2000.0, 0.0]),
     expected("crash", FaultKind::Down, [0.25, 0.0, 0.0]),
--- a/crates/testbed/src/decision_cost.rs
+++ b/crates/testbed/src/decision_cost.rs
@@ -1,8 +1,9 @@
-//! The cost of decisions: the library alone, in virtual time, with one decision cycle per millisecond.
+//! Measures the cost of decisions: real time per message that the library alone takes, driven in virtual time
+//! with one decision cycle per millisecond.
 //!
-//! The cases of a series differ in one quantity: messages in flight, destinations, or calls in flight. They
-//! are measured in turn within one run, so that other load on the machine affects all of them alike; medians
-//! are compared.
+//! The cases of a series differ in one quantity: waiting messages, destinations, or calls in flight. Their
+//! measurements are interleaved, so that other load on the machine affects all of them alike; medians are
+//! compared.
 
 mod driver;
 mod workload;
@@ -14,21 +15,24 @@
 /// The load of a case.
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    /// Messages that wait for destinations that have sent a Retry-After.
+    /// Number of messages that wait until the Retry-After of their destination has passed.
     waiting_messages: u32,
+    /// Number of destinations that serve every call.
     destinations: u32,
+    /// Number of calls in flight in the steady state.
     calls_in_flight: u32,
-    /// Whether the limit of messages in flight is reached, so that each accepted message causes another
-    /// rejection.
-    is_crowded: bool,
+    /// Whether the waiting messages exceed the threshold of load shedding, so that each accepted message
+    /// causes the rejection of another one.
+    sheds_load: bool,
 }
 
-const USUAL_CASE: Case =
-    Case { waiting_messages: 10, destinations: 10, calls_in_flight: 300, is_crowded: false };
+/// The values of the quantities in which the cases of a series do not differ.
+const DEFAULT_CASE: Case =
+    Case { waiting_messages: 10, destinations: 10, calls_in_flight: 300, sheds_load: false };
 
 /// Cases that differ in one quantity.
 struct Series {
-    /// The name in the figures.
+    /// The key in the JSON document.
     name: &'static str,
     cases: Vec<Case>,
     /// The quantity that the cases differ in.
@@ -43,26 +47,26 @@
             name: "held",
             cases: cases(&[10, 1_000, 10_000, 50_000], |waiting_messages| Case {
                 waiting_messages,
-                ..USUAL_CASE
+                ..DEFAULT_CASE
             }),
             count: |case| case.waiting_messages,
         },
         Series {
             name: "destinations",
-            cases: cases(&[10, 100, 1_000, 5_000], |destinations| Case { destinations, ..USUAL_CASE }),
+            cases: cases(&[10, 100, 1_000, 5_000], |destinations| Case { destinations, ..DEFAULT_CASE }),
             count: |case| case.destinations,
         },
         Series {
             name: "out",
-            cases: cases(&[100, 1_000, 10_000], |calls_in_flight| Case { calls_in_flight, ..USUAL_CASE }),
+            cases: cases(&[100, 1_000, 10_000], |calls_in_flight| Case { calls_in_flight, ..DEFAULT_CASE }),
             count: |case| case.calls_in_flight,
         },
         Series {
             name: "crowded",
             cases: cases(&[1_000, 10_000, 50_000], |waiting_messages| Case {
                 waiting_messages,
-                is_crowded: true,
-                ..USUAL_CASE
+                sheds_load: true,
+                ..DEFAULT_CASE
             }),
             count: |case| case.waiting_messages,
         },
@@ -73,13 +77,13 @@
 struct MeasuredCase {
     driver: Driver,
     count: u32,
-    /// Microseconds per message, one value for each turn.
+    /// Real time in microseconds per accepted message, one value for each turn.
     cost_us: Vec<f64>,
     calls_in_flight: usize,
 }
 
-/// Measures all series, `turns` times `cycles` decision cycles a case, and returns the cost per message as
-/// JSON. Each case has its ratio to the first case of its series.
+/// Measures all series and returns their costs as JSON. Each case is measured in `turns` turns of `cycles`
+/// decision cycles, and compared with the first case of its series.
 pub fn run(cycles: u64, turns: usize) -> Value {
     let mut document = json!({"rounds": cycles, "turns": turns, "messages_a_round": MESSAGES_PER_CYCLE});
     for series in all_series() {
@@ -107,7 +111,8 @@
     json!(rows)
 }
 
-/// The figures of a case. Its ratio compares each turn with the same turn of the series' first case.
+/// Returns the figures of a case. Its ratio is the median over turns of its cost divided by the cost of the
+/// series' first case in the same turn.
 fn case_json(case: &MeasuredCase, first: &[f64]) -> Value {
     let cost = &case.cost_us;
     let ratios = cost.iter().zip(first).map(|(cost, first)| cost / first);
--- a/crates/testbed/src/decision_cost/driver.rs
+++ b/crates/testbed/src/decision_cost/driver.rs
@@ -1,7 +1,7 @@
 //! Drives a dispatcher in virtual time: submits messages and finishes every attempt after a fixed service
 //! time.
 //!
-//! The destinations with the lowest numbers are waiting destinations: each has sent a long Retry-After before
+//! The destinations with the lowest numbers are waiting destinations: each sends a long Retry-After before
 //! the measurement, so that the messages for it wait. All other destinations serve every attempt.
 
 use super::workload::{self, CLASSES, DEADLINE, MILLISECOND, SECOND};
@@ -20,7 +20,7 @@
 const WARM_UP_CYCLES: u64 = 300;
 /// Number of destinations that have sent a Retry-After.
 const WAITING_DESTINATIONS: u32 = 8;
-/// Longer than any measurement.
+/// A Retry-After longer than any measurement, in virtual nanoseconds.
 const LONG_RETRY_AFTER: Time = 100_000 * SECOND;
 
 /// An attempt that is in flight.
@@ -50,7 +50,8 @@
     calls: VecDeque<Call>,
     /// The number of the next attempt of each open message.
     next_attempts: BTreeMap<u32, u16>,
-    /// Duration of every attempt, in nanoseconds.
+    /// Duration of every attempt, in virtual nanoseconds. By Little's law it is the number of calls in flight
+    /// divided by the arrival rate, [`MESSAGES_PER_CYCLE`] per millisecond.
     service_time: Time,
     rng: ChaCha8Rng,
 }
@@ -73,7 +74,8 @@
         driver
     }
 
-    /// Runs this many decision cycles and returns their cost in microseconds of real time per message.
+    /// Runs this many decision cycles and returns their cost in microseconds of real time per accepted
+    /// message.
     pub(super) fn measure(&mut self, cycles: u64) -> f64 {
         let started = Instant::now();
         self.run_cycles(cycles);
@@ -188,12 +190,12 @@
         self.calls.pop_front()
     }
 
-    /// Accepts a message for a random destination. In a crowded case, the first message of each cycle is for
-    /// a waiting destination.
+    /// Accepts a message for a random destination that serves it. In a case that sheds load, the first
+    /// message of each cycle (`number` 0) is for a waiting destination instead.
     fn accept_drawn(&mut self, number: u32) {
         let drawn = WAITING_DESTINATIONS + self.rng.random_range(0..self.case.destinations);
         let class = self.rng.random_range(0..CLASSES);
-        let must_wait = self.case.is_crowded && number == 0;
+        let must_wait = self.case.sheds_load && number == 0;
         let destination = if must_wait { self.next_message % WAITING_DESTINATIONS } else { drawn };
         self.accept(destination, class);
     }
--- a/crates/testbed/src/decision_cost/workload.rs
+++ b/crates/testbed/src/decision_cost/workload.rs
@@ -7,14 +7,14 @@
 pub(super) const SECOND: Time = 1_000 * MILLISECOND;
 /// Number of message classes.
 pub(super) const CLASSES: u32 = 3;
-/// Longer than any measurement.
+/// Time from a message's acceptance to its deadline; longer than any measurement.
 pub(super) const DEADLINE: Time = 10_000 * SECOND;
 const DEDUP_WINDOW: Time = 20_000 * SECOND;
 const ENDPOINTS_PER_DESTINATION: u32 = 2;
-/// Limit of messages in flight in cases that are not crowded, on top of the calls in flight.
+/// Limit of messages in flight in cases that shed no load, in addition to the calls in flight.
 const AMPLE_MESSAGES: u32 = 200_000;
 
-/// The ready endpoints of this many destinations.
+/// Returns the endpoints of this many destinations, all ready.
 pub(super) fn endpoints(destinations: u32) -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
     for destination in 0..destinations {
@@ -43,10 +43,11 @@
     }
 }
 
-/// The settings of a case. A crowded case limits messages in flight to ten ninths of those that wait.
+/// Returns the settings of a case. The library sheds load above 90 % of `max_in_flight_messages`; a case that
+/// sheds load sets this limit to 10/9 of the waiting messages, which then reach the threshold alone.
 pub(super) fn settings(case: Case) -> Settings {
     let max_in_flight_messages =
-        if case.is_crowded { case.waiting_messages * 10 / 9 } else { AMPLE_MESSAGES + case.calls_in_flight };
+        if case.sheds_load { case.waiting_messages * 10 / 9 } else { AMPLE_MESSAGES + case.calls_in_flight };
     Settings {
         courier_count: 1,
         classes: vec![
--- a/crates/testbed/src/decision_record.rs
+++ b/crates/testbed/src/decision_record.rs
@@ -1,8 +1,10 @@
-//! Records the decision cycles of the library, and replays a record through another version of the library.
+//! Records the decision cycles of the library, and replays a record through another version of the library to
+//! detect changes of behaviour.
 //!
-//! A record is a line of JSON with the settings and the seed, then a line for each decision cycle. A replay
-//! finds the first cycle in which the library decides differently. Recording never changes a decision; a
-//! record that cannot be written ends, and the courier continues.
+//! A record is a file of JSON lines: a header with the settings and the seed, then a line for each decision
+//! cycle; each start of the policy appends a header. A replay finds the first cycle in which the library
+//! decides differently. Recording never changes a decision: if a record cannot be written, it ends, and the
+//! courier continues.
 
 use anyhow::{bail, ensure, Context};
 use linnetcart::{Action, Dispatcher, Event, Settings, Time};
@@ -17,24 +19,24 @@
 #[cfg(test)]
 mod tests;
 
-/// The prefix of the name of the recording policy; the folder of the records follows.
+/// The prefix of the recording policy's name; the path of the folder for the records follows it.
 pub const POLICY_PREFIX: &str = "recorded:";
 /// Maximum length of a line in a record.
 const MAX_LINE_BYTES: u64 = 64 << 20;
-/// The start of the first line of a record.
+/// The start of a header line, which distinguishes it from decision cycles.
 const HEADER_START: &[u8] = b"{\"settings\"";
 
-/// The folder of this process's records.
+/// The folder for this process's records.
 static FOLDER: OnceLock<PathBuf> = OnceLock::new();
 
-/// The first line of a record.
+/// A header line.
 #[derive(Debug, Serialize, Deserialize)]
 struct Header {
     settings: Settings,
     seed: u64,
 }
 
-/// One decision cycle as it is written.
+/// A decision cycle as it is written: the clock, and the events and actions of one call of the library.
 #[derive(Debug, Serialize)]
 struct Cycle {
     now: Time,
@@ -42,7 +44,7 @@
     actions: Vec<Action>,
 }
 
-/// One decision cycle as it is read: the actions stay text, to be compared byte for byte.
+/// A decision cycle as it is read. The actions stay JSON text, to be compared byte for byte.
 #[derive(Debug, Deserialize)]
 struct RecordedCycle {
     now: Time,
@@ -80,7 +82,7 @@
 }
 
 impl RecordingPolicy {
-    /// Appends a line. The first error ends the record.
+    /// Appends a line and flushes it. The first error ends the record.
     fn write_line(&mut self, line: &impl Serialize) {
         let Some(file) = &mut self.file else { return };
         if write_json_line(file, line).is_err() {
@@ -104,14 +106,14 @@
     }
 }
 
-/// The size of a replayed record in which every decision was the same.
+/// The totals of a replayed record in which every decision was the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Replayed {
-    /// Decision cycles.
+    /// Number of decision cycles.
     pub cycles: u64,
-    /// Their events.
+    /// Number of events in them.
     pub events: u64,
-    /// Their actions.
+    /// Number of actions in them.
     pub actions: u64,
 }
 
@@ -144,7 +146,7 @@
         }
         let cycle: RecordedCycle = serde_json::from_slice(&line).with_context(place)?;
         let Some(dispatcher) = &mut dispatcher else {
-            bail!("{}: a round before any settings; is this a record of rounds?", place())
+            bail!("{}: a decision cycle before the first header; is this file a decision record?", place())
         };
         replay_cycle(dispatcher, cycle, &mut replayed, place)?;
     }
@@ -160,9 +162,13 @@
     replayed.events += cycle.events.len() as u64;
     let actions = dispatcher.decide(cycle.now, cycle.events);
     let recorded = cycle.actions.get();
-    let now = serde_json::to_string(&actions)?;
-    if recorded != now {
-        bail!("{}, at {} ns: decided otherwise\n  recorded {recorded}\n  now      {now}", place(), cycle.now);
+    let replayed_actions = serde_json::to_string(&actions)?;
+    if recorded != replayed_actions {
+        bail!(
+            "{}, at {} ns: decided otherwise\n  recorded {recorded}\n  replayed {replayed_actions}",
+            place(),
+            cycle.now
+        );
     }
     replayed.cycles += 1;
     replayed.actions += actions.len() as u64;
--- a/crates/testbed/src/decision_record/tests.rs
+++ b/crates/testbed/src/decision_record/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use linnetcart::{AcceptedMessage, Class, DestinationKind, Endpoint, EndpointStatus, Idempotency};
 
+/// Records nine decision cycles and returns the path of the record.
 fn record(folder: &Path) -> PathBuf {
     set_folder(folder).expect("a folder");
     let class = Class {
--- a/crates/testbed/src/emulated_run.rs
+++ b/crates/testbed/src/emulated_run.rs
@@ -1,4 +1,4 @@
-//! Runs in virtual time: the recipe that a run can be repeated from, and the trace of one message.
+//! Runs in virtual time: the recipe, from which a run can be repeated exactly, and the trace of one message.
 
 mod message_trace;
 #[cfg(test)]
@@ -16,16 +16,17 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Everything that a run depends on. Recipe files keep the field names of their first version.
+/// Everything that a run depends on, besides the version of the program. Recipe files keep the field names of
+/// their first version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recipe {
     /// The complete scenario, as it was run.
     #[serde(rename = "day")]
     pub scenario: Scenario,
-    /// The seed of the fleet, traffic, network and decisions.
+    /// The seed of all random numbers of the run: fleet, traffic, network, clocks and decisions.
     pub seed: u64,
-    /// The name of the policy that decides.
+    /// The name of the couriers' delivery policy, one of [`baselines::NAMES`].
     pub policy: String,
     /// The timing of hosts and network.
     #[serde(default)]
@@ -37,7 +38,7 @@
 pub struct UncheckedRun {
     /// The fleet that was drawn.
     pub fleet: Fleet,
-    /// What happened.
+    /// The records and totals of the run.
     pub run: EmulatedRun,
 }
 
@@ -46,7 +47,7 @@
 pub struct CheckedRun {
     /// The fleet that was drawn.
     pub fleet: Fleet,
-    /// What happened.
+    /// The records and totals of the run.
     pub run: EmulatedRun,
     /// The results of the checks.
     pub report: Report,
@@ -62,7 +63,7 @@
 }
 
 impl Recipe {
-    /// The recipe of a run of the decision library on the default model.
+    /// Creates the recipe of a run with the decision library as policy and the default model.
     pub fn new(scenario: Scenario, seed: u64) -> Recipe {
         Recipe { scenario, seed, policy: baselines::NAMES[0].into(), model: Model::default() }
     }
@@ -70,10 +71,10 @@
     /// Runs the recipe. With a trace, the delivery events that it selects are recorded.
     ///
     /// # Errors
-    /// Fails if there is no policy of the name, or the emulation fails.
+    /// Fails if the policy is unknown, or the emulation fails.
     pub fn run(&self, trace: Option<DeliveryTrace>) -> anyhow::Result<UncheckedRun> {
         let policy = baselines::policy(&self.policy).with_context(|| {
-            format!("`{}` is no policy; there are {}", self.policy, baselines::NAMES.join(", "))
+            format!("unknown policy `{}`; known policies: {}", self.policy, baselines::NAMES.join(", "))
         })?;
         let fleet = Fleet::draw(self.scenario.clone(), self.seed);
         let run = linnetcart_emulator::run(&fleet, Options { policy, model: self.model, trace })?;
--- a/crates/testbed/src/emulated_run/message_trace.rs
+++ b/crates/testbed/src/emulated_run/message_trace.rs
@@ -1,5 +1,5 @@
-//! The trace of one message: what its client, the couriers that accepted it and the endpoints did with it, in
-//! time order.
+//! The trace of one message: every step of its client, of the couriers that accepted it and of the endpoints,
+//! in time order.
 
 use super::{Recipe, UncheckedRun};
 use anyhow::bail;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// Who acted. Actions of the same instant are listed in this order.
+/// The origin of a line. Lines of the same instant are listed in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Actor {
     ClientSubmits,
@@ -36,9 +36,11 @@
     incarnation: u32,
 }
 
-/// The attempts of the message by one incarnation of a courier so far.
+/// The attempts of the message by one incarnation of a courier so far, from which the reason of the next one
+/// is derived.
 #[derive(Debug)]
 struct AttemptHistory {
+    /// When the last attempt started.
     last_started: Time,
     /// The description of the last attempt that has finished, if any.
     last_finished: Option<String>,
@@ -79,7 +81,7 @@
     let kind = fleet.destinations[destination as usize].kind;
     format!(
         "message {message}: {} for destination {destination} ({}), key {:?}, \
-         aim {:.0} ms, deadline {:.0} ms\n",
+         latency objective {:.0} ms, deadline {:.0} ms\n",
         class.name,
         fleet.scenario.kind[kind].name,
         planned.key,
@@ -93,7 +95,8 @@
         self.lines.push(TraceLine { at, actor, text });
     }
 
-    /// Adds what the clients and endpoints recorded about the message, and the stalls of its couriers.
+    /// Adds the records of clients and endpoints about the message, and the stalls of the couriers that it
+    /// was submitted to.
     fn add_records(&mut self, records: &Records, message: u64) {
         let mut couriers = BTreeSet::new();
         for submission in records.submissions.iter().filter(|submission| submission.message == message) {
@@ -116,8 +119,9 @@
         let courier = submission.courier;
         let incarnation = submission.incarnation;
         let remaining = milliseconds(submission.deadline - submission.at);
-        let text =
-            format!("client: handed to courier {courier} (life {incarnation}), {remaining:.0} ms left");
+        let text = format!(
+            "client: handed to courier {courier} (incarnation {incarnation}), {remaining:.0} ms left"
+        );
         self.add(submission.at, Actor::ClientSubmits, text);
         for client_answer in &submission.answers {
             let answer = client_answer.answer;
@@ -136,7 +140,7 @@
             EndpointVerdict::Error => "will answer an error".into(),
             EndpointVerdict::Unanswered => "will not answer".into(),
             EndpointVerdict::Rejected { retry_after } => {
-                format!("turns it away, wait {:.0} ms", milliseconds(retry_after))
+                format!("will reject it, Retry-After {:.0} ms", milliseconds(retry_after))
             }
         };
         let effect = if arrival.effect { ", it takes effect" } else { "" };
@@ -151,7 +155,7 @@
 
     fn add_stall(&mut self, stall: &Stall) {
         let duration = milliseconds(stall.until - stall.from);
-        let text = format!("courier {}: stands still for {duration:.0} ms", stall.courier);
+        let text = format!("courier {}: stalled for {duration:.0} ms", stall.courier);
         self.add(stall.from, Actor::StalledCourier, text);
     }
 
@@ -192,17 +196,17 @@
                 Some(format!("{text} after {:.0} ms", milliseconds(*elapsed)))
             }
             DeliveryEvent::Completed { answer, elapsed, .. } => Some(describe_answer(answer, *elapsed)),
-            DeliveryEvent::ClientCancelled { .. } => Some("withdrawn: its client is gone".into()),
+            DeliveryEvent::ClientCancelled { .. } => Some("cancelled: its client disconnected".into()),
             _ => None,
         }
     }
 
     fn hedge_reason(&self, now: Time) -> String {
-        let outstanding = milliseconds(now - self.last_started);
-        format!("a copy: the last is out for {outstanding:.0} ms")
+        let in_flight = milliseconds(now - self.last_started);
+        format!("hedge: the last attempt has been in flight for {in_flight:.0} ms")
     }
 
-    /// The reason of an attempt that is no hedge; attempt 0 is the first one.
+    /// Returns the reason of an attempt that is not a hedge; attempt 0 is the first one.
     fn retry_reason(&self, attempt: u16) -> String {
         if attempt == 0 {
             return "the first".into();
@@ -219,7 +223,7 @@
     match answer {
         FinalAnswer::Rejected { retry_after } if *retry_after > 0 => {
             let retry_after = milliseconds(*retry_after);
-            format!("refused after {elapsed:.0} ms, come back in {retry_after:.0}")
+            format!("rejected after {elapsed:.0} ms, Retry-After {retry_after:.0} ms")
         }
         answer => format!("{answer:?} after {elapsed:.0} ms"),
     }
--- a/crates/testbed/src/emulated_run/tests.rs
+++ b/crates/testbed/src/emulated_run/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What version 0.1.0 wrote for `emulate quiet --couriers 2 --speed 6 --recipe`.
+/// The recipe that version 0.1.0 wrote for `emulate quiet --couriers 2 --speed 6 --recipe`.
 const STORED: &str = include_str!("../../tests/stored/recipe-0.1.0.json");
 
 #[test]
--- a/crates/testbed/src/fault_search.rs
+++ b/crates/testbed/src/fault_search.rs
@@ -1,6 +1,6 @@
-//! Fault search: draws random faults, runs them in virtual time, and looks for scenarios that break an
-//! invariant or on which the tested policy falls behind the baselines most. A scenario that was found is
-//! shrunk to the faults that matter.
+//! Fault search, by the method of property-based testing: draws random faults, runs them in virtual time, and
+//! looks for a scenario that breaks an invariant, or for the one on which the tested policy falls behind the
+//! baselines most. The scenario found is shrunk to the faults that matter.
 //!
 //! The scenario of run k depends on the seed of the search and on k alone, so a search finds the same
 //! scenario with any number of threads.
@@ -17,9 +17,9 @@
 use linnetcart_scenario::scenario::Scenario;
 use std::ops::Range;
 
-/// Number of runs that a search for losses does before it chooses the next parent to mutate.
+/// Number of runs between two choices of the scenario to mutate, in a search for losses.
 const GENERATION_SIZE: u64 = 32;
-/// The part of the original loss that a shrunk scenario must still show.
+/// The fraction of the original loss that a shrunk scenario must still show.
 const MIN_REMAINING_LOSS: f64 = 0.8;
 
 /// What a search looks for.
@@ -56,9 +56,9 @@
 /// A scenario that a search found.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// The number of the run that found it, counted from 1; 0 if the scenario was given.
+    /// The number of the run that found it, counted from 1; 0 if the scenario was given and not drawn.
     pub run: u64,
-    /// The broken invariants with an example, or the loss.
+    /// The broken invariants with an example, or the loss against the best baseline.
     pub summary: String,
     /// The scenario as drawn.
     pub drawn: Recipe,
@@ -77,7 +77,8 @@
     broken_rules: Vec<&'static str>,
     /// An example of a broken invariant; empty if none is broken.
     first_example: String,
-    /// Part of the priority weight asked for that the best baseline delivers more than the tested policy.
+    /// `max(0, service of the best baseline - service of the tested policy)`, where service is the fraction
+    /// of the requested priority weight that was delivered.
     weight_loss: f64,
 }
 
@@ -112,7 +113,9 @@
     fn summary(&self, goal: Goal) -> String {
         match goal {
             Goal::BrokenInvariant => format!("{}: {}", self.broken_rules.join("; "), self.first_example),
-            Goal::WeightLoss => format!("{:.3} of the worth less than the best baseline", self.weight_loss),
+            Goal::WeightLoss => {
+                format!("{:.3} of the priority weight less than the best baseline", self.weight_loss)
+            }
         }
     }
 }
@@ -126,7 +129,7 @@
 }
 
 impl FaultSearch {
-    /// Searches and shrinks what is found. Returns `None` if no run reaches the goal.
+    /// Runs the search and shrinks the scenario found. Returns `None` if no run reaches the goal.
     pub fn run(&self, progress: ProgressFn) -> anyhow::Result<Option<Finding>> {
         let found = match self.goal {
             Goal::BrokenInvariant => self.find_broken_invariant(progress)?,
@@ -156,7 +159,7 @@
         })
     }
 
-    /// Runs a recipe, and for a search for losses the same with every baseline.
+    /// Runs a recipe, and in a search for losses also with every other policy.
     fn assess(&self, recipe: &Recipe) -> anyhow::Result<Severity> {
         let report = recipe.run_checked()?.report;
         let mut severity = Severity::of(&report);
@@ -181,8 +184,8 @@
         Ok(found.map(|found| found.result))
     }
 
-    /// Draws independent scenarios in the first half of the runs and mutates the worst one in the second
-    /// half.
+    /// Draws independent scenarios in the first half of the runs, and in the second half mutates the one with
+    /// the largest loss so far (hill climbing).
     fn find_worst_loss(&self, progress: ProgressFn) -> anyhow::Result<Option<Candidate>> {
         let mut worst: Option<Candidate> = None;
         let mut next_run = 1;
@@ -202,7 +205,7 @@
         Ok(worst.filter(|worst| worst.severity.reaches(Goal::WeightLoss)))
     }
 
-    /// Runs mutations of the parent, or independent scenarios if there is none.
+    /// Runs mutations of the parent, or independently drawn scenarios if there is no parent.
     fn run_generation(
         &self,
         runs: Range<u64>,
--- a/crates/testbed/src/fault_search/describe.rs
+++ b/crates/testbed/src/fault_search/describe.rs
@@ -5,21 +5,21 @@
 use linnetcart_scenario::scenario::FaultSpec;
 use std::fmt::Write;
 
-/// The shrunk scenario as a script. Comments at its top say what it shows and how to run it.
+/// Returns the shrunk scenario as a script. Comments at its top give the finding and the commands to run it.
 pub fn script(finding: &Finding) -> anyhow::Result<String> {
     let recipe = &finding.shrunk;
     let seed = recipe.seed;
     let mut text = String::new();
     let _ = writeln!(text, "# {}", finding.summary);
-    let _ = writeln!(text, "# Play it again: linnetcart-testbed emulate FILE --seed {seed}");
+    let _ = writeln!(text, "# In virtual time: linnetcart-testbed emulate FILE --seed {seed}");
     if recipe.scenario.emulated_only().is_empty() {
-        let _ = writeln!(text, "# On sockets:    linnetcart-testbed day FILE --seed {seed}");
+        let _ = writeln!(text, "# On sockets:      linnetcart-testbed day FILE --seed {seed}");
     }
     text.push_str(&toml::to_string(&recipe.scenario)?);
     Ok(text)
 }
 
-/// A description of the finding, with the report of the shrunk scenario. Runs the shrunk scenario once more.
+/// Describes the finding, with the report of the shrunk scenario, which is run once more for it.
 pub fn describe(finding: &Finding) -> anyhow::Result<String> {
     let drawn = &finding.drawn.scenario;
     let shrunk = &finding.shrunk.scenario;
@@ -27,7 +27,7 @@
     let _ = writeln!(text, "run {}: {}", finding.run, finding.summary);
     let _ = writeln!(
         text,
-        "shrunk in {} runs: troubles {} -> {}, seconds {:.0} -> {:.0}, couriers {} -> {}",
+        "shrunk in {} runs: faults {} -> {}, seconds {:.0} -> {:.0}, couriers {} -> {}",
         finding.shrink_runs,
         drawn.faults.len(),
         shrunk.faults.len(),
--- a/crates/testbed/src/fault_search/draw.rs
+++ b/crates/testbed/src/fault_search/draw.rs
@@ -8,11 +8,12 @@
 use rand_chacha::ChaCha8Rng;
 use std::ops::Range;
 
-/// Spreads the seed of a search over all bits, so that the generators of its runs are independent.
+/// Factor of the seed of a search (2^64 / golden ratio, as in Fibonacci hashing). The generator of a run is
+/// seeded with `seed * factor ^ run`; without the factor, run 2 of seed 1 would equal run 1 of seed 2.
 const DRAW_SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// As [`DRAW_SEED_FACTOR`], for mutations.
+/// As [`DRAW_SEED_FACTOR`], for mutations; the multiplier of xorshift64*.
 const MUTATION_SEED_FACTOR: u64 = 0x2545_f491_4f6c_dd1d;
-/// Seeds of the fleet, traffic and decisions of a run.
+/// The range that the seed of a run's recipe is drawn from.
 const RUN_SEEDS: Range<u64> = 1..1_000_000;
 
 /// All kinds of fault. Their order determines what a seed draws.
@@ -45,7 +46,7 @@
     FaultKind::DiskDamaged,
 ];
 
-/// The strength of a fault; the meaning and unit of both figures depend on the kind, see [`FaultSpec`].
+/// The strength of a fault; the meaning and unit of both figures depend on the kind, see [`FaultKind`].
 struct Strength {
     size: f64,
     extra: f64,
@@ -59,11 +60,12 @@
     }
 }
 
+/// Draws a number uniformly from `low` to `high`.
 fn between(rng: &mut ChaCha8Rng, low: f64, high: f64) -> f64 {
     low + rng.random::<f64>() * (high - low)
 }
 
-/// Draws a fault of a kind, with times within the scenario.
+/// Draws a fault of a kind that begins within the scenario.
 fn draw_fault(rng: &mut ChaCha8Rng, kind: FaultKind, scenario: &Scenario) -> FaultSpec {
     let at = between(rng, 0.05, 0.75) * scenario.seconds;
     let lasts = between(rng, 0.05, 0.4) * scenario.seconds;
@@ -72,7 +74,7 @@
     FaultSpec { what: kind, at, lasts, part, size, extra, hard: rng.random() }
 }
 
-/// Draws the strength of a fault within the range of real ones: the size first, then the extra figure.
+/// Draws the strength of a fault within a realistic range: the size first, then the extra figure.
 fn draw_strength(rng: &mut ChaCha8Rng, kind: FaultKind, classes: usize) -> Strength {
     let mut draw = |low: f64, high: f64| between(rng, low, high);
     match kind {
--- a/crates/testbed/src/fault_search/shrink.rs
+++ b/crates/testbed/src/fault_search/shrink.rs
@@ -1,4 +1,4 @@
-//! Shrinks a scenario step by step, as long as it still shows the problem that was found.
+//! Shrinks a scenario greedily, one step at a time, as long as it still shows the problem that was found.
 
 use super::{FaultSearch, Severity};
 use crate::emulated_run::Recipe;
@@ -9,7 +9,7 @@
 
 /// Faults that last longer than this, in seconds, are tried at half their duration.
 const MIN_HALVED_SECONDS: f64 = 0.3;
-/// Fractions of a unit that figures of faults are rounded to.
+/// Steps per unit that the figures of faults are rounded to.
 const TENTHS: f64 = 10.0;
 const HUNDREDTHS: f64 = 100.0;
 
@@ -88,6 +88,7 @@
     let scenario = &steps.from.scenario;
     let kinds = scenario.kind.len();
     let fault_ends = scenario.faults.iter().map(|fault| fault.at + fault.lasts);
+    // The scenario ends one second and a fifth of its time after its last fault.
     let last_fault_end = fault_ends.fold(2.0, f64::max);
     let enough_seconds = (last_fault_end * 1.2 + 1.0).ceil();
     steps.add(|scenario| scenario.seconds = scenario.seconds.min(enough_seconds));
@@ -117,6 +118,7 @@
     steps.add_fault_change(index, |fault| fault.hard = false);
 }
 
-fn round_to(value: f64, fractions: f64) -> f64 {
-    (value * fractions).round() / fractions
+/// Rounds to a multiple of `1 / steps_per_unit`.
+fn round_to(value: f64, steps_per_unit: f64) -> f64 {
+    (value * steps_per_unit).round() / steps_per_unit
 }
--- a/crates/testbed/src/fidelity_check.rs
+++ b/crates/testbed/src/fidelity_check.rs
@@ -1,4 +1,5 @@
-//! Compares runs in virtual time with runs on sockets, on the same scenarios and seeds.
+//! Measures how faithful runs in virtual time are: compares them with runs on sockets of the same scenarios
+//! and seeds, by paired differences.
 
 use crate::emulated_run::Recipe;
 use crate::experiment::intervals::{mean, paired_difference, Mean};
@@ -12,8 +13,9 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Measures that are compared.
+/// The measures that are compared, by their names in [`MEASURES`].
 const COMPARED: [&str; 6] = ["served_worth", "in_aim", "refused", "calls", "calls_refused", "p50_ms"];
+/// The measure with the number of broken invariants, whose sums are compared.
 const RULES_BROKEN: &str = "rules_broken";
 
 /// The runs that are compared.
@@ -25,9 +27,9 @@
     pub seeds: u64,
     /// Number of runs on sockets at the same time.
     pub parallel_runs: usize,
-    /// The program whose `edge` command is a courier.
+    /// The program whose `edge` command runs a courier.
     pub program: PathBuf,
-    /// The folder for the state of couriers.
+    /// The folder for the state of couriers; each run uses a subfolder and removes it.
     pub dir: PathBuf,
 }
 
@@ -40,7 +42,7 @@
     pub figures: Value,
 }
 
-/// The measures of the same scenario and seed on sockets and in virtual time.
+/// The values of all [`MEASURES`] for one scenario and seed, on sockets and in virtual time.
 struct RunPair {
     on_sockets: Vec<f64>,
     emulated: Vec<f64>,
@@ -68,12 +70,12 @@
     json!({"mean": mean.mean, "half": mean.half_width})
 }
 
-/// The progress of a plan.
+/// The progress of the runs on sockets of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// The number of the run on sockets that has finished, counted from 1.
     pub run: u64,
-    /// Number of runs in total.
+    /// Number of runs on sockets in total.
     pub total: u64,
 }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
 //! Local stacks, scenarios on sockets and in virtual time, and measurements for linnetcart.
 //!
 //! [`socket_run`] runs a scenario with courier processes, connected over real sockets to the scenario runner
-//! of `linnetcart-scenario`. [`emulated_run`] runs the same scenario in virtual time. The other modules
-//! search, compare and measure with these two, and [`cli`] is the command line over all of them. Nothing here
-//! is a part of the product: it never runs beside a courier in production.
+//! of `linnetcart-scenario`. [`emulated_run`] runs the same scenario in virtual time. The other modules use
+//! these two to search for faults, to compare and to measure; [`cli`] is their command line. Nothing here is
+//! part of the product or runs in production.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/testbed/src/parallel.rs
+++ b/crates/testbed/src/parallel.rs
@@ -1,4 +1,5 @@
-//! Runs numbered tasks on several threads. The results do not depend on the number of threads.
+//! Runs numbered tasks on several threads, which take the next number from a shared counter. The results do
+//! not depend on the number of threads.
 
 use std::collections::BTreeMap;
 use std::ops::{Range, RangeInclusive};
@@ -8,14 +9,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Runs the same work on each thread. Returns the first error, by thread; a panic of a worker is passed on.
-fn run_workers(threads: usize, task: impl Fn() -> anyhow::Result<()> + Sync) -> anyhow::Result<()> {
+/// Runs the same worker loop on each thread. If several fail, returns the error of the thread that was
+/// started first; a panic of a worker is resumed in the caller.
+fn run_workers(threads: usize, worker_loop: impl Fn() -> anyhow::Result<()> + Sync) -> anyhow::Result<()> {
     std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(&task)).collect();
+        let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(&worker_loop)).collect();
         let mut outcome = Ok(());
         for worker in workers {
-            let ended = worker.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic));
-            outcome = outcome.and(ended);
+            let worker_outcome = worker.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic));
+            outcome = outcome.and(worker_outcome);
         }
         outcome
     })
@@ -24,7 +26,7 @@
 /// Runs the task of each number and returns the results in the order of the numbers.
 ///
 /// # Errors
-/// Fails if a task fails; the others may then be left out.
+/// Fails if a task fails; tasks that have not started may then not run.
 pub fn run_all<T: Send>(
     threads: usize,
     numbers: Range<u64>,
@@ -53,8 +55,8 @@
     pub result: T,
 }
 
-/// Returns the result of the lowest number whose task has one, or `None` if no task has. Tasks of higher
-/// numbers that were already begun are discarded.
+/// Returns the result of the lowest number whose task has one, or `None` if no task has. No task of a higher
+/// number is started after a result was found; results of those already running are discarded.
 ///
 /// # Errors
 /// Fails if a task fails.
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Summaries of the values of several repetitions.
+//! Summary statistics of the values of several repetitions of a measurement.
 
 use serde_json::{json, Value};
 
@@ -7,7 +7,7 @@
     (value * 100.0).round() / 100.0
 }
 
-/// The median, the upper one of an even number of values; 0 without values.
+/// The median; of an even number of values, the upper of the two middle ones; 0 without values.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
--- a/crates/testbed/tests/emulated.rs
+++ b/crates/testbed/tests/emulated.rs
@@ -188,7 +188,7 @@
     let text = trace_message(&recipe, message).unwrap();
     assert_eq!(text.matches(": call ").count() - text.matches(" answered\n").count(), calls, "{text}");
     assert!(text.contains("(the first)") && text.contains("client: handed to courier"), "{text}");
-    assert!(text.contains("(a copy: ") || text.contains("(again, after "), "{text}");
+    assert!(text.contains("(hedge: ") || text.contains("(again, after "), "{text}");
     let unknown_message = 1 << 40;
     let error = trace_message(&recipe, unknown_message).unwrap_err().to_string();
     assert!(error.contains("the run has 0 to"), "{error}");
