--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -45,14 +45,14 @@
     pub kind: SendKind,
 }
 
-/// An id that is unique only within one courier.
+/// An id that a courier assigned; it is unique only together with the courier's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LocalId<Id> {
     courier: u32,
     id: Id,
 }
 
-/// All connections, by token, by courier, and by the ids that couriers give them.
+/// All connections, indexed by token, by courier, and by the ids that couriers assigned to them.
 #[derive(Debug, Default)]
 pub struct ConnectionTable {
     connections: BTreeMap<Token, Connection>,
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -23,18 +23,18 @@
 /// One incarnation of the program on a courier's host. Each start of the program begins the next incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CourierIncarnation {
-    /// The courier.
+    /// The number of the courier.
     pub courier: u32,
     /// The number of the incarnation.
     pub incarnation: u32,
 }
 
-/// The result of one iteration of the event loop.
+/// What one iteration of the event loop leads to outside the program.
 #[derive(Debug, Default)]
 pub struct IterationResult {
-    /// What to send, open and close.
+    /// Data to send, and connections to open and close.
     pub outputs: Vec<Output>,
-    /// Events of messages.
+    /// Delivery events, for the trace.
     pub delivery_events: Vec<DeliveryEvent>,
     /// Clients to disconnect because the program has no settings yet.
     pub rejected_clients: Vec<ClientId>,
@@ -47,7 +47,7 @@
 /// The host of a courier, in one incarnation of its program.
 #[derive(Debug)]
 pub struct Host {
-    /// The incarnation.
+    /// The number of the incarnation.
     pub incarnation: u32,
     /// When the next iteration is scheduled, or `None` if none is.
     pub next_iteration: Option<Time>,
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -73,7 +73,7 @@
     pub failed_connects: Vec<FailedConnect>,
     /// The trace, if there is one, on the network's clock.
     pub trace: Option<DeliveryTrace>,
-    /// SHA-256 of all segments that arrived, with their times.
+    /// SHA-256 of all segments that arrived, with their times, in hexadecimal.
     pub digest: String,
     /// Number of events processed.
     pub events: u64,
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -10,9 +10,9 @@
 pub struct TracedEvent {
     /// When the event loop iteration of the event began, in nanoseconds.
     pub at: Time,
-    /// The courier.
+    /// The number of the courier.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The number of the courier's incarnation.
     pub incarnation: u32,
     /// The event.
     pub event: DeliveryEvent,
--- a/crates/testbed/src/bench_scenario.rs
+++ b/crates/testbed/src/bench_scenario.rs
@@ -68,8 +68,8 @@
 pub fn convert(text: &str) -> anyhow::Result<ConvertedScenario> {
     let bench: BenchScenario =
         serde_json::from_str(text).context("not a scenario in the JSON format of the bench")?;
-    let has_all = !bench.servers.is_empty() && !bench.balancers.is_empty();
-    ensure!(has_all, "the scenario has no servers or no balancers");
+    let has_fleet = !bench.servers.is_empty() && !bench.balancers.is_empty();
+    ensure!(has_fleet, "the scenario has no servers or no balancers");
     let mut scenario = Scenario::find(BASE_SCENARIO)?;
     scenario.name = "bench".into();
     scenario.about = "Troubles of a bench day.".into();
@@ -171,8 +171,9 @@
             "slow" => FaultShape::new(FaultKind::Slow, part).with_size(size),
             "shared_slow" => FaultShape::of_all(FaultKind::SharedSlow).with_size(size),
             "pauses" => {
-                let every = self.extra.max(1.0);
-                FaultShape::new(FaultKind::Pauses, part).with_size(size / 1e3).with_extra(every)
+                let period_seconds = self.extra.max(1.0);
+                let milliseconds = size / 1e3;
+                FaultShape::new(FaultKind::Pauses, part).with_size(milliseconds).with_extra(period_seconds)
             }
             "answer_lost" => FaultShape::new(FaultKind::AnswersLost, part).with_size(size),
             "throttle" => FaultShape::new(FaultKind::Throttle, part).with_size(size),
@@ -185,15 +186,15 @@
                 FaultShape::new(FaultKind::SlowConnect, part).with_size(self.size_in(1e3, 1e3))
             }
             "deploy" => {
-                let drained = size.clamp(0.05, 0.5);
-                let seconds_to_end = self.extra.clamp(1.0, 10.0);
+                let batch_fraction = size.clamp(0.05, 0.5);
+                let drain_seconds = self.extra.clamp(1.0, 10.0);
                 let shape = FaultShape::new(FaultKind::Drains, part.max(0.3));
-                shape.with_size(drained).with_extra(seconds_to_end)
+                shape.with_size(batch_fraction).with_extra(drain_seconds)
             }
             "preempt" => {
-                let seconds_to_end = size.clamp(0.3, 4.0);
+                let drain_seconds = size.clamp(0.3, 4.0);
                 let shape = FaultShape::new(FaultKind::Drains, part.max(0.15));
-                shape.with_size(0.25).with_extra(seconds_to_end)
+                shape.with_size(0.25).with_extra(drain_seconds)
             }
             _ => return None,
         };
@@ -223,8 +224,9 @@
             }
             "balancer_stall" => {
                 let milliseconds = self.size_in(1e3, 1e4);
-                let every = self.extra.clamp(1.0, 10.0);
-                FaultShape::new(FaultKind::CouriersStall, couriers).with_size(milliseconds).with_extra(every)
+                let period_seconds = self.extra.clamp(1.0, 10.0);
+                let shape = FaultShape::new(FaultKind::CouriersStall, couriers);
+                shape.with_size(milliseconds).with_extra(period_seconds)
             }
             _ => return None,
         };
--- a/crates/testbed/src/emulated_run/message_trace.rs
+++ b/crates/testbed/src/emulated_run/message_trace.rs
@@ -57,7 +57,8 @@
     span as f64 / 1e6
 }
 
-/// Repeats a run and describes the lifecycle of one message, every attempt with its reason.
+/// Repeats a run and describes the lifecycle of one message, every attempt with its reason. Each line has the
+/// time since the start of the scenario and the time since the message was due for submission.
 ///
 /// # Errors
 /// Fails if the run cannot be repeated or has no message of this number.
@@ -168,12 +169,13 @@
         }
     }
 
-    fn into_text(mut self, first_submission: Time) -> String {
+    fn into_text(mut self, planned_at: Time) -> String {
         self.lines.sort_by_key(|line| (line.at, line.actor));
         let mut text = String::new();
         for line in self.lines {
-            let since_first = (line.at as f64 - first_submission as f64) / 1e6;
-            let _ = writeln!(text, "{:>11.3} ms {since_first:>+11.3}  {}", milliseconds(line.at), line.text);
+            let since_planned = (line.at as f64 - planned_at as f64) / 1e6;
+            let _ =
+                writeln!(text, "{:>11.3} ms {since_planned:>+11.3}  {}", milliseconds(line.at), line.text);
         }
         text
     }
--- a/crates/testbed/src/fault_search.rs
+++ b/crates/testbed/src/fault_search.rs
@@ -93,6 +93,7 @@
         }
     }
 
+    /// Whether a scenario with this severity shows a problem of the kind that the search looks for.
     fn reaches(&self, goal: Goal) -> bool {
         match goal {
             Goal::BrokenInvariant => !self.broken_rules.is_empty(),
@@ -120,7 +121,7 @@
     }
 }
 
-/// A scenario that was tried.
+/// A scenario that was run, with its result.
 #[derive(Clone, Debug)]
 struct Candidate {
     run: u64,
@@ -147,6 +148,7 @@
         self.finding(Candidate { run: 0, recipe, severity }).map(Some)
     }
 
+    /// Shrinks a candidate and describes what it shows.
     fn finding(&self, candidate: Candidate) -> anyhow::Result<Finding> {
         let Candidate { run, recipe, severity } = candidate;
         let shrunk = self.shrink(&recipe, &severity)?;
--- a/crates/testbed/src/fault_search/draw.rs
+++ b/crates/testbed/src/fault_search/draw.rs
@@ -107,13 +107,13 @@
 }
 
 impl FaultSearch {
-    /// The kinds that this search may draw.
+    /// Returns the kinds of fault that this search may draw.
     fn kinds(&self) -> Vec<FaultKind> {
         let allowed = |kind: &FaultKind| !self.sockets_only || !kind.emulated_only();
         FAULT_KINDS.into_iter().filter(allowed).collect()
     }
 
-    /// Draws the scenario of a run: a seed of its own and one or more faults.
+    /// Draws the recipe of a run: one or more faults added to the base scenario, and a seed.
     pub(super) fn draw(&self, run: u64) -> Recipe {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed.wrapping_mul(DRAW_SEED_FACTOR) ^ run);
         let mut scenario = self.base.clone();
@@ -127,7 +127,7 @@
         recipe
     }
 
-    /// Mutates a scenario: removes, adds or redraws a fault, or changes the seed of the run.
+    /// Mutates a recipe: removes, adds or redraws one fault, or redraws the seed.
     pub(super) fn mutate(&self, parent: &Recipe, run: u64) -> Recipe {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed.wrapping_mul(MUTATION_SEED_FACTOR) ^ run);
         let mut recipe = parent.clone();
@@ -144,6 +144,7 @@
         recipe
     }
 
+    /// Adds a fault of a random kind.
     fn add_fault(&self, rng: &mut ChaCha8Rng, scenario: &mut Scenario) {
         if let Some(&kind) = self.kinds().choose(rng) {
             let fault = draw_fault(rng, kind, scenario);
@@ -151,6 +152,7 @@
         }
     }
 
+    /// Names a scenario after the search and the run that drew it.
     fn name(&self, scenario: &mut Scenario, run: u64) {
         scenario.name = format!("hunt-{}-{run}", self.seed);
         scenario.about = "Found by a hunt.".into();
--- a/crates/testbed/src/fault_search/shrink.rs
+++ b/crates/testbed/src/fault_search/shrink.rs
@@ -16,7 +16,7 @@
 /// The result of shrinking.
 pub(super) struct Shrunk {
     pub(super) recipe: Recipe,
-    /// Number of runs that it took.
+    /// Number of runs that shrinking took.
     pub(super) runs: u64,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Recipes that are one step smaller, the largest steps first.
+/// Returns the recipes that are one step smaller, the largest steps first.
 fn smaller_recipes(from: &Recipe) -> Vec<Recipe> {
     let mut steps = Steps { from, smaller: Vec::new() };
     for index in 0..from.scenario.faults.len() {
@@ -84,6 +84,7 @@
     steps.smaller
 }
 
+/// Adds steps to a shorter scenario, less traffic, and fewer couriers, destinations and kinds of destination.
 fn add_smaller_fleets(steps: &mut Steps) {
     let scenario = &steps.from.scenario;
     let kinds = scenario.kind.len();
@@ -108,6 +109,7 @@
     }
 }
 
+/// Adds steps to a fault that is shorter, has rounder figures or is not of the harder form.
 fn add_simpler_faults(steps: &mut Steps, index: usize) {
     if steps.from.scenario.faults[index].lasts > MIN_HALVED_SECONDS {
         steps.add_fault_change(index, |fault| fault.lasts = round_to(fault.lasts / 2.0, TENTHS));
