--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,8 +1,5 @@
-//! The command line of `linnetcart-testbed`: one module for each subcommand, with its arguments and their
-//! checks.
-//!
-//! The modules here read arguments and print results; the work itself is done by the other modules of the
-//! library.
+//! The command line of `linnetcart-testbed`. Each module declares the arguments of its subcommands, validates
+//! them, calls the module of the library that does the work, and prints the results.
 
 mod child;
 mod common;
@@ -20,12 +17,11 @@
 use common::Outcome;
 use std::process::ExitCode;
 
-/// Starts local stacks of linnetcart, runs scenarios on real sockets and in virtual time, and measures.
+/// Runs test scenarios of linnetcart on real sockets and in virtual time, and measures its cost per message.
 ///
-/// Everything stays on loopback, on ports that the system chooses.
+/// Couriers and simulated endpoints listen on the loopback interface, on ports that the system chooses.
 ///
-/// Exit codes: 0 done and every rule kept; 1 a rule was broken or something failed; 2 the command line is
-/// wrong.
+/// Exit codes: 0 success; 1 a check failed, such as a broken rule, or an error occurred; 2 invalid arguments.
 #[derive(Debug, Parser)]
 #[command(name = "linnetcart-testbed", version)]
 pub struct Args {
@@ -35,45 +31,45 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start a courier and its endpoints, print one line of JSON when all is ready, run until a signal
+    /// Start a courier and its endpoints, print the addresses as one line of JSON, run until a signal
     Up(up::Args),
-    /// Run a scenario on sockets and check the six rules on the recorded traffic
+    /// Run a scenario with courier processes on sockets and check the six rules on the recorded traffic
     #[command(name = "day")]
     SocketRun(socket_run::Args),
-    /// Run a scenario in virtual time, with any number of couriers, and check the six rules
+    /// Run a scenario in virtual time, which allows more couriers than `day`, and check the six rules
     Emulate(emulate::Args),
-    /// Run scenarios on sockets and in virtual time on the same seeds, and report how far they differ
+    /// Run scenarios on sockets and in virtual time with the same seeds, and report the differences
     #[command(name = "faithful")]
     FidelityCheck(fidelity_check::Args),
-    /// Run a grid of factors in virtual time and report the results
+    /// Run each combination of factor levels in virtual time and report means with confidence intervals
     Experiment(experiment::Args),
-    /// Search in virtual time for scenarios that break a rule or lose most, and shrink them
+    /// Search in virtual time for faults that break a rule or lose most priority weight, and minimize them
     #[command(name = "hunt")]
     FaultSearch(fault_search::Args),
-    /// Print the lifecycle of one message of a run in virtual time, every attempt with its reason
+    /// Repeat a run in virtual time and print what happened to one message, every attempt with its reason
     Trace(inspect::TraceArgs),
-    /// Measure the cost of a message: an edge beside a relay that decides nothing
+    /// Measure CPU time per message of a courier, compared with a relay that makes no delivery decisions
     #[command(name = "floor")]
     ThroughputBaseline(throughput_baseline::Args),
-    /// Draw charts and tables from files that `day --json`, `floor --json` and `tail --record` wrote
+    /// Draw charts and tables from files of `day --json`, `emulate --json`, `floor --json`, `tail --record`
     Report(inspect::ReportArgs),
-    /// Replay recorded decision cycles through the decision library and compare its decisions, byte for byte
+    /// Replay recorded decision cycles through the decision library and compare its actions byte for byte
     Replay(inspect::ReplayArgs),
-    /// Receive reports as Graphite or collectd would, and show them live
+    /// Receive the couriers' metrics as Graphite or collectd would, and show them live
     #[command(name = "tail")]
     Listen(listen::Args),
     /// List the built-in scenarios
     #[command(name = "days")]
     ListScenarios,
-    /// Relay and decide nothing; `floor` starts it
+    /// Forward messages without delivery decisions; `floor` starts this process
     #[command(hide = true)]
     Relay(child::RelayArgs),
-    /// Run a courier; other subcommands start theirs with this
+    /// Run a courier; other subcommands start their couriers with this
     #[command(hide = true)]
     Edge(child::EdgeArgs),
 }
 
-/// Runs the program and returns its exit code.
+/// Runs the subcommand and returns the exit code. An error is printed with its causes to standard error.
 pub fn run(args: Args) -> ExitCode {
     let outcome = match args.command {
         Command::Up(args) => up::run(&args),
--- a/crates/testbed/src/cli/child.rs
+++ b/crates/testbed/src/cli/child.rs
@@ -1,4 +1,4 @@
-//! `relay` and `edge`: the processes that other subcommands start.
+//! `relay` and `edge`: the child processes that other subcommands start.
 
 use super::common::Outcome;
 use crate::{baselines, courier_process, decision_record, relay};
@@ -10,13 +10,13 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct RelayArgs {
-    /// Addresses of the endpoints, by partition
+    /// Addresses of the endpoints, in the order of the Kafka partitions that are forwarded to them
     endpoints: Vec<SocketAddr>,
 }
 
 #[derive(Debug, clap::Args)]
 pub(super) struct EdgeArgs {
-    /// The policy that decides
+    /// Name of the decision policy
     #[arg(long, default_value = "library")]
     policy: String,
     #[command(flatten)]
@@ -32,14 +32,15 @@
 pub(super) fn run_edge(args: EdgeArgs) -> anyhow::Result<Outcome> {
     prepare_child_process();
     let Some(policy) = find_policy(&args.policy)? else {
-        eprintln!("`{}` is no policy; there are {}", args.policy, baselines::NAMES.join(", "));
+        eprintln!("unknown policy `{}`; the policies are {}", args.policy, baselines::NAMES.join(", "));
         return Ok(Outcome::WrongUsage);
     };
     Ok(Outcome::Courier(linnetcart_edge::cli::run_with(args.edge, policy)))
 }
 
-/// Returns the policy of a name, or `None` if there is none. A name with the record prefix is the library
-/// with a record of its decisions.
+/// Returns the policy of this name, or `None` if there is no such policy. A name that begins with
+/// [`decision_record::POLICY_PREFIX`] is the decision library, whose decision cycles are recorded in the
+/// folder after the prefix.
 fn find_policy(name: &str) -> anyhow::Result<Option<PolicyFactory>> {
     let Some(folder) = name.strip_prefix(decision_record::POLICY_PREFIX) else {
         return Ok(baselines::policy(name));
@@ -48,7 +49,8 @@
     Ok(Some(decision_record::recording_policy))
 }
 
-/// Has this process killed when its parent ends, and pins it to the core that the parent chose, if any.
+/// Lets the kernel kill this process when its parent exits (`PR_SET_PDEATHSIG`), and pins it to the CPU core
+/// in the variable [`courier_process::CORE_VARIABLE`], if the parent set it.
 fn prepare_child_process() {
     let _ = set_parent_process_death_signal(Some(Signal::KILL));
     let Ok(core) = std::env::var(courier_process::CORE_VARIABLE) else { return };
--- a/crates/testbed/src/cli/common.rs
+++ b/crates/testbed/src/cli/common.rs
@@ -1,4 +1,4 @@
-//! Exit codes, work folders and output that several subcommands share.
+//! Exit codes, working folders, argument checks and output that several subcommands share.
 
 use anyhow::{bail, Context};
 use linnetcart_conformance::Report;
@@ -8,25 +8,26 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Maximum number of couriers that run as processes.
+/// Maximum number of couriers that run as processes; larger fleets run in virtual time.
 pub(super) const MAX_COURIERS_ON_SOCKETS: u32 = 64;
+/// Maximum of `--threads`.
 const MAX_THREADS: usize = 256;
 
 /// How a subcommand ended; it determines the exit code.
 #[derive(Debug)]
 pub(super) enum Outcome {
-    /// Done, and every check passed.
+    /// The subcommand completed, and no check failed.
     Passed,
-    /// Done, and a check failed.
+    /// The subcommand completed and a check failed, or an error occurred.
     Failed,
     /// The command line names something that does not exist.
     WrongUsage,
-    /// The program ran as a courier, which chose the exit code.
+    /// The process ran as a courier; this is the courier's exit code.
     Courier(ExitCode),
 }
 
 impl Outcome {
-    /// `Passed` if the run kept every invariant, otherwise `Failed`.
+    /// `Passed` if no rule was broken, otherwise `Failed`.
     pub(super) fn of_report(report: &Report) -> Outcome {
         if report.is_conformant() {
             Outcome::Passed
@@ -45,28 +46,29 @@
     }
 }
 
-/// Whether a work folder outlives the program.
+/// Whether a working folder remains after it is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Retention {
     Temporary,
     Persistent,
 }
 
-/// A folder for state and logs. A temporary one is removed when dropped.
+/// A folder for the state and logs of couriers. A temporary one is removed with its content when dropped.
 pub(super) struct WorkFolder {
     pub(super) path: PathBuf,
     retention: Retention,
 }
 
 impl WorkFolder {
-    /// Creates a folder with a unique name that is removed when dropped.
+    /// Creates a folder in the system's temporary directory, named by process id and time, that is removed
+    /// when dropped.
     pub(super) fn temporary() -> anyhow::Result<WorkFolder> {
         let nanos = SystemTime::now().duration_since(UNIX_EPOCH)?.as_nanos();
         let name = format!("linnetcart-testbed-{}-{nanos:x}", std::process::id());
         WorkFolder::create(std::env::temp_dir().join(name), Retention::Temporary)
     }
 
-    /// Creates a folder that is not removed.
+    /// Creates a folder that remains, with any missing parents; an existing one is used as it is.
     pub(super) fn persistent(path: PathBuf) -> anyhow::Result<WorkFolder> {
         WorkFolder::create(path, Retention::Persistent)
     }
@@ -85,37 +87,38 @@
     }
 }
 
-/// The path of this program; couriers are started from it.
+/// The path of this executable, from which couriers are started with the `edge` subcommand.
 pub(super) fn this_program() -> anyhow::Result<PathBuf> {
-    std::env::current_exe().context("this program's own path")
+    std::env::current_exe().context("the path of this executable is unknown")
 }
 
-/// Returns the requested number of threads, or one for each core if none is requested.
+/// Validates the value of `--threads`; without one, returns the number of CPU cores.
 pub(super) fn thread_count(requested: Option<usize>) -> anyhow::Result<usize> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let threads = requested.unwrap_or(cores);
     if !(1..=MAX_THREADS).contains(&threads) {
-        bail!("--threads: 1 to {MAX_THREADS}");
+        bail!("--threads must be 1 to {MAX_THREADS}");
     }
     Ok(threads)
 }
 
-/// Writes a JSON document to a file, if one is given.
+/// Writes a document as indented JSON to a file; does nothing if no file is given.
 pub(super) fn write_json(file: Option<&Path>, document: &Value) -> anyhow::Result<()> {
     let Some(file) = file else { return Ok(()) };
     let text = serde_json::to_string_pretty(document)? + "\n";
     std::fs::write(file, text).with_context(|| file.display().to_string())
 }
 
-/// Prints the destinations that became overloaded, with the time since the start of the run.
+/// Prints each overload of a recovering limit: the destination, and the time in seconds since the start.
 pub(super) fn print_overloads(records: &ScenarioRecords) {
     for overload in &records.overloads {
         let destination = overload.destination;
-        println!("destination {destination} fell over at {:.1} s", overload.at as f64 / 1e9);
+        let seconds = overload.at as f64 / 1e9;
+        println!("destination {destination} was overloaded during its recovery at {seconds:.1} s");
     }
 }
 
-/// Prints whether the run kept every invariant.
+/// Prints whether every case of the six rules passed.
 pub(super) fn print_verdict(report: &Report) {
     println!("{}", if report.is_conformant() { "all rules kept" } else { "A RULE WAS BROKEN" });
 }
--- a/crates/testbed/src/cli/emulate.rs
+++ b/crates/testbed/src/cli/emulate.rs
@@ -1,4 +1,4 @@
-//! `emulate`: runs a scenario in virtual time and checks it.
+//! `emulate`: runs a scenario in virtual time and checks the six rules.
 
 use super::common::{print_overloads, print_verdict, write_json, Outcome};
 use crate::emulated_run::{CheckedRun, Recipe};
@@ -12,28 +12,28 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The name of a built-in scenario, or the path of a script
+    /// Name of a built-in scenario, or path of a scenario script
     #[arg(value_name = "DAY")]
     name: String,
-    /// Seed of the fleet, traffic, network and decisions
+    /// Seed of the random numbers of fleet, traffic, network and decisions
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Speed up the scenario by this factor: durations shrink, rates grow
+    /// Speed-up factor: the scenario's durations are divided and its rates multiplied by it
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Number of couriers, in place of the scenario's
+    /// Number of couriers; replaces the scenario's
     #[arg(long)]
     couriers: Option<u32>,
-    /// The policy that decides
+    /// Name of the decision policy
     #[arg(long, default_value = "library")]
     policy: String,
-    /// Set a factor as in the plan of an experiment: destinations=10, traffic.load=0.9, trouble=none
+    /// Set a factor, as in the plan of an experiment: destinations=10, traffic.load=0.9, trouble=none
     #[arg(long = "set", value_name = "NAME=LEVEL", value_parser = Setting::parse)]
     settings: Vec<Setting>,
-    /// Write the figures to this file
+    /// Write the report of the checks as JSON to this file
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write the recipe of the run to this file; `trace` and `hunt --shrink` read it
+    /// Write the inputs that determine the run (its recipe) to this file, for `trace` and `hunt --shrink`
     #[arg(long, value_name = "FILE")]
     recipe: Option<PathBuf>,
 }
@@ -61,7 +61,8 @@
     Ok(Outcome::of_report(report))
 }
 
-/// The recipe of the run: the scenario with the factors, the policy and the speed of the command line.
+/// The recipe of the run. The factors are applied before the speed, so their levels refer to the scenario at
+/// its original speed.
 fn recipe(args: &Args, scenario: Scenario) -> anyhow::Result<Recipe> {
     let mut recipe = Recipe::new(scenario, args.seed);
     recipe.policy = args.policy.clone();
@@ -72,13 +73,14 @@
     Ok(recipe)
 }
 
+/// Prints how fast the emulation was; `elapsed` is its wall-clock time in seconds.
 fn print_speed(run: &EmulatedRun, elapsed: f64) {
     let virtual_seconds = run.virtual_time as f64 / 1e9;
     let times_real_time = virtual_seconds / elapsed;
     let events_per_second = run.events as f64 / elapsed;
     println!(
         "{virtual_seconds:.1} s of virtual time in {elapsed:.2} s: {times_real_time:.1} times real time, \
-         {events_per_second:.0} events a second, {} connections at most",
+         {events_per_second:.0} events per second, at most {} open connections",
         run.peak_connections
     );
 }
--- a/crates/testbed/src/cli/experiment.rs
+++ b/crates/testbed/src/cli/experiment.rs
@@ -1,4 +1,4 @@
-//! `experiment`: runs a grid of factors in virtual time.
+//! `experiment`: runs every combination of factor levels in virtual time (a full factorial design).
 
 use super::common::{thread_count, Outcome};
 use crate::experiment::plan::Plan;
@@ -8,15 +8,15 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The plan, a TOML file
+    /// Path of the plan, a TOML file
     plan: PathBuf,
-    /// Folder for results, charts and the report; results of the same plan and commit are continued
+    /// Folder for results, charts and the report; results there of the same plan and commit are kept
     #[arg(long, value_name = "DIR")]
     out: PathBuf,
-    /// Number of runs at the same time; one for each core if not given
+    /// Number of concurrent runs; the default is the number of CPU cores
     #[arg(long)]
     threads: Option<usize>,
-    /// Stop after this many runs; the same command continues with the rest
+    /// Stop after this many runs; the same command resumes with the remaining ones
     #[arg(long)]
     at_most: Option<u64>,
 }
@@ -33,7 +33,7 @@
         commit: experiment::commit(),
     };
     if experiment::run(plan, &args.out, &options)? == Completion::Partial {
-        println!("not whole yet: the same command goes on with it");
+        println!("incomplete: the same command resumes the experiment");
     }
     Ok(Outcome::Passed)
 }
--- a/crates/testbed/src/cli/fault_search.rs
+++ b/crates/testbed/src/cli/fault_search.rs
@@ -1,5 +1,5 @@
-//! `hunt`: searches for scenarios that break an invariant, or on which the policy loses most against the
-//! baselines.
+//! `hunt`: searches for faults that break a rule, or with which a policy delivers the least priority weight
+//! compared with the best baseline.
 
 use super::common::{thread_count, Outcome};
 use crate::emulated_run::Recipe;
@@ -9,55 +9,55 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
-/// Number of runs between two updates of the progress line.
+/// The progress line is updated after every this many runs.
 const PROGRESS_INTERVAL: u64 = 16;
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The scenario whose fleet, traffic and faults every run has
+    /// Scenario whose fleet, traffic and faults every run starts from
     #[arg(long, default_value = "quiet")]
     day: String,
-    /// Number of couriers, in place of the scenario's
+    /// Number of couriers; replaces the scenario's
     #[arg(long)]
     couriers: Option<u32>,
-    /// Speed up the scenario by this factor
+    /// Speed-up factor: the scenario's durations are divided and its rates multiplied by it
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Seed of the search
+    /// Seed from which the faults and the seeds of the runs are drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Maximum number of scenarios that are tried
+    /// Maximum number of scenarios to run
     #[arg(long, default_value_t = 1000)]
     runs: u64,
-    /// Maximum number of faults that are added to a scenario
+    /// Maximum number of faults to add to the scenario
     #[arg(long, default_value_t = 5)]
     troubles: usize,
-    /// The policy that decides
+    /// Name of the decision policy under test
     #[arg(long, default_value = "library")]
     policy: String,
-    /// Search for the scenario with the largest loss against the best baseline, not for broken rules
+    /// Search for the largest loss of priority weight against the best baseline instead of for broken rules
     #[arg(long)]
     loss: bool,
-    /// Draw only faults that a run on sockets can cause
+    /// Draw only faults that can be injected on sockets, so that `day` can run the scenario
     #[arg(long)]
     on_sockets: bool,
-    /// Do not search, but shrink the scenario of this recipe
+    /// Minimize the faults of this recipe instead of searching
     #[arg(long, value_name = "FILE")]
     shrink: Option<PathBuf>,
-    /// Number of runs at the same time; one for each core if not given
+    /// Number of concurrent runs; the default is the number of CPU cores
     #[arg(long)]
     threads: Option<usize>,
-    /// Write the scenario that was found to this file, as a script
+    /// Write the minimized scenario as a script to this file
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
-    /// Write its recipe to this file, for `trace`
+    /// Write the recipe of the minimized run to this file, for `trace`
     #[arg(long, value_name = "FILE")]
     recipe: Option<PathBuf>,
 }
 
 pub(super) fn run(args: &Args) -> anyhow::Result<Outcome> {
     if !(1..=10_000_000).contains(&args.runs) || !(1..=64).contains(&args.troubles) {
-        bail!("--runs: 1 to 10000000; --troubles: 1 to 64");
+        bail!("--runs must be 1 to 10000000, --troubles 1 to 64");
     }
     let shows_progress = std::io::stderr().is_terminal();
     let search = search(args)?;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Prints the finding and writes the files that were asked for.
+/// Prints the finding, and writes its script and recipe if `--out` and `--recipe` ask for them.
 fn report_finding(args: &Args, finding: &Finding) -> anyhow::Result<()> {
     print!("{}", fault_search::describe(finding)?);
     if let Some(file) = &args.out {
--- a/crates/testbed/src/cli/inspect.rs
+++ b/crates/testbed/src/cli/inspect.rs
@@ -1,4 +1,4 @@
-//! `trace`, `report`, `replay` and `days`: show what is in files.
+//! `trace`, `report`, `replay` and `days`: show recipes, results, decision records and built-in scenarios.
 
 use super::common::Outcome;
 use crate::emulated_run::{trace_message, Recipe};
@@ -8,15 +8,15 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct TraceArgs {
-    /// The run's recipe, as `emulate --recipe` writes it
+    /// Recipe of the run, as `emulate --recipe` or `hunt --recipe` writes it
     run: PathBuf,
-    /// The number of the message
+    /// Number of the message in the run, counted from 0
     message: u64,
 }
 
 #[derive(Debug, clap::Args)]
 pub(super) struct ReportArgs {
-    /// Files that `day --json`, `emulate --json`, `floor --json` or `tail --record` wrote
+    /// Files written by `day --json`, `emulate --json`, `floor --json` or `tail --record`
     #[arg(required = true)]
     files: Vec<PathBuf>,
     /// Folder for the charts and the tables
@@ -26,7 +26,7 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct ReplayArgs {
-    /// Records, as `day --record` writes them
+    /// Decision records, as `day --record` writes them
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
@@ -46,7 +46,7 @@
     for file in &args.files {
         let replayed = decision_record::replay(file)?;
         let decision_record::Replayed { cycles, events, actions } = replayed;
-        println!("{}: the same in {cycles} rounds, {events} events, {actions} actions", file.display());
+        println!("{}: same actions: {cycles} cycles, {events} events, {actions} actions", file.display());
     }
     Ok(Outcome::Passed)
 }
--- a/crates/testbed/src/cli/listen.rs
+++ b/crates/testbed/src/cli/listen.rs
@@ -1,4 +1,4 @@
-//! `tail`: receives reports as Graphite or collectd would, and shows them.
+//! `tail`: receives the couriers' metrics as Graphite or collectd would, and shows them.
 
 use super::common::Outcome;
 use crate::listen::{self, CounterCheck, ListenOptions};
@@ -11,19 +11,19 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// Listen for Graphite's forms on this address; port 0 lets the system choose
+    /// Listen on this TCP address for Graphite's plaintext and pickle forms; port 0: any free port
     #[arg(long, value_name = "ADDR")]
     graphite: Option<SocketAddr>,
-    /// Listen for collectd's packets on this address
+    /// Listen on this UDP address for collectd packets; port 0: any free port
     #[arg(long, value_name = "ADDR")]
     collectd: Option<SocketAddr>,
-    /// A collectd user with a key; packets must then be signed or encrypted
+    /// Accept collectd packets only if they are signed or encrypted with the key of one of these users
     #[arg(long, value_name = "USER:KEY", requires = "collectd", value_parser = parse_user)]
     user: Vec<UserKey>,
-    /// Write each point to this file as a plaintext line; `report` draws charts from it
+    /// Write each data point to this file as a line of Graphite plaintext; `report` draws charts from it
     #[arg(long, value_name = "FILE")]
     record: Option<PathBuf>,
-    /// Stop after this many seconds
+    /// Stop after this many seconds; the default is to run until SIGINT or SIGTERM
     #[arg(long)]
     seconds: Option<f64>,
 }
@@ -35,13 +35,13 @@
 }
 
 fn parse_user(text: &str) -> Result<UserKey, String> {
-    let (user, key) = text.split_once(':').ok_or("USER:KEY is expected")?;
+    let (user, key) = text.split_once(':').ok_or("expected USER:KEY")?;
     Ok(UserKey { user: user.to_owned(), key: key.to_owned() })
 }
 
 pub(super) fn run(args: Args) -> anyhow::Result<Outcome> {
     if args.seconds.is_some_and(|seconds| !(seconds > 0.0 && seconds <= 1e6)) {
-        bail!("--seconds: more than 0 and at most 1000000");
+        bail!("--seconds must be more than 0 and at most 1000000");
     }
     let mut users: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for UserKey { user, key } in args.user {
--- a/crates/testbed/src/cli/socket_run.rs
+++ b/crates/testbed/src/cli/socket_run.rs
@@ -1,4 +1,4 @@
-//! `day`: runs a scenario on sockets and checks what went over them.
+//! `day`: runs a scenario on sockets and checks the six rules on the recorded traffic.
 
 use super::common::{
     print_overloads, print_verdict, this_program, write_json, Outcome, WorkFolder, MAX_COURIERS_ON_SOCKETS,
@@ -18,34 +18,34 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The name of a built-in scenario, or the path of a script
+    /// Name of a built-in scenario, or path of a scenario script
     #[arg(required_unless_present = "bench", value_name = "DAY")]
     name: Option<String>,
-    /// A scenario as the bench writes it; its faults are caused on a fleet of the testbed
+    /// Scenario file of the bench; its faults are injected into the fleet of a built-in scenario
     #[arg(long, value_name = "FILE", conflicts_with = "name")]
     bench: Option<PathBuf>,
-    /// Seed of the fleet, traffic and decisions
+    /// Seed of the random numbers of fleet, traffic and decisions
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Speed up the scenario by this factor: durations shrink, rates grow
+    /// Speed-up factor: the scenario's durations are divided and its rates multiplied by it
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Number of couriers, in place of the scenario's
+    /// Number of couriers; replaces the scenario's
     #[arg(long)]
     couriers: Option<u32>,
-    /// Also run the baselines on the same seed, and compare
+    /// Also run the baseline policies with the same seed, and compare
     #[arg(long)]
     baselines: bool,
-    /// Write the figures to this file
+    /// Write the reports of the checks as JSON to this file
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Keep the couriers' state and logs in this folder
+    /// Keep the couriers' state and logs in this folder, in a subfolder for each policy
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
     /// Record every decision cycle of every courier in this folder
     #[arg(long, value_name = "DIR")]
     record: Option<PathBuf>,
-    /// Report from the couriers to this Graphite receiver every second, for instance `tail --graphite`
+    /// Have the couriers send their metrics to this Graphite receiver every second, such as `tail --graphite`
     #[arg(long, value_name = "ADDR")]
     graphite: Option<SocketAddr>,
     /// Do not show the progress line
@@ -78,7 +78,7 @@
     match (&args.bench, &args.name) {
         (Some(file), _) => read_bench_scenario(file),
         (None, Some(name)) => Ok(Scenario::find(name)?),
-        (None, None) => bail!("a day's name or --bench is wanted"),
+        (None, None) => bail!("give DAY or --bench"),
     }
 }
 
@@ -86,7 +86,7 @@
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let converted = bench_scenario::convert(&text).with_context(|| file.display().to_string())?;
     for fault in converted.unsupported {
-        eprintln!("not played: {fault}");
+        eprintln!("fault left out: {fault}");
     }
     Ok(converted.scenario)
 }
@@ -94,16 +94,16 @@
 fn ensure_runs_on_sockets(scenario: &Scenario) -> anyhow::Result<()> {
     if scenario.couriers > MAX_COURIERS_ON_SOCKETS {
         let couriers = scenario.couriers;
-        bail!("{couriers} couriers: at most {MAX_COURIERS_ON_SOCKETS} on sockets; `emulate` plays more");
+        bail!("{couriers} couriers: at most {MAX_COURIERS_ON_SOCKETS} run on sockets; use `emulate`");
     }
     let unsupported = scenario.emulated_only();
     if !unsupported.is_empty() {
-        bail!("sockets of one machine cannot play {unsupported:?}; `emulate` does");
+        bail!("faults that cannot be injected on sockets: {unsupported:?}; use `emulate`");
     }
     Ok(())
 }
 
-/// Runs the fleet under a policy and checks the run. Details are printed for the library only.
+/// Runs the fleet with a policy and checks the recorded traffic. The report is printed for the library only.
 fn run_policy(args: &Args, fleet: &Fleet, policy: &str) -> anyhow::Result<Report> {
     let folder = match &args.keep {
         Some(folder) => WorkFolder::persistent(folder.join(policy))?,
@@ -111,7 +111,7 @@
     };
     let shows_progress = !args.quiet && std::io::stderr().is_terminal();
     let options = StackOptions {
-        policy: recorded_policy(args, policy),
+        policy: policy_argument(args, policy),
         graphite: args.graphite,
         progress: shows_progress.then_some(print_progress),
         ..StackOptions::new(this_program()?, folder.path.clone())
@@ -128,8 +128,8 @@
     Ok(report)
 }
 
-/// The name under which couriers run a policy. With `--record`, the library's name tells them to record.
-fn recorded_policy(args: &Args, policy: &str) -> String {
+/// The value of the couriers' `--policy`. With `--record`, the library is replaced by the recording policy.
+fn policy_argument(args: &Args, policy: &str) -> String {
     match &args.record {
         Some(folder) if policy == LIBRARY => {
             format!("{}{}", decision_record::POLICY_PREFIX, folder.display())
@@ -140,5 +140,5 @@
 
 fn print_progress(progress: socket_run::Progress) {
     let socket_run::Progress { seconds, of_seconds, open_messages } = progress;
-    eprint!("\r{seconds:>5.0} of {of_seconds:.0} s, {open_messages} messages open   ");
+    eprint!("\r{seconds:>5.0} of {of_seconds:.0} s, {open_messages} open messages   ");
 }
--- a/crates/testbed/src/cli/throughput_baseline.rs
+++ b/crates/testbed/src/cli/throughput_baseline.rs
@@ -1,4 +1,4 @@
-//! `floor`: measures what a message costs.
+//! `floor`: measures the CPU time and memory that messages, decisions and reports cost.
 
 use super::common::{this_program, write_json, Outcome, WorkFolder};
 use crate::throughput_baseline::{self, Options, Selection};
@@ -7,40 +7,40 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Decision cycles per turn of a case, when the cost of decisions is measured.
+/// Number of decision cycles in each measurement of `--decisions`; `--rounds` is the number of measurements.
 const DECISION_CYCLES: u64 = 400;
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// Length of each measurement in seconds
+    /// Duration of each measurement, in seconds
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// Number of measurements of edge and relay, in turn; medians are given
+    /// Repetitions of beside, telemetry, --decisions and --reports; the other parts are measured once
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Measure only this part: beside, destinations, held, connections or telemetry
+    /// Measure only one part: beside (courier and relay), destinations, held, connections or telemetry
     #[arg(long)]
     part: Option<String>,
-    /// Numbers of messages in flight
+    /// Numbers of messages in flight to measure, separated by commas
     #[arg(long, value_delimiter = ',', default_values_t = [10, 1000, 10_000])]
     held: Vec<usize>,
-    /// Numbers of destinations
+    /// Numbers of destinations to measure, separated by commas
     #[arg(long, value_delimiter = ',', default_values_t = [1, 10, 100, 1000])]
     destinations: Vec<usize>,
-    /// Measure only the cost of a decision, of the library alone and in virtual time
+    /// Measure only the CPU time of decisions: the library without sockets, in virtual time
     #[arg(long, conflicts_with_all = ["part", "seconds"])]
     decisions: bool,
-    /// Measure only the cost of reports, of the reporting alone and in virtual time
+    /// Measure only the CPU time of metrics reports: the telemetry without sockets, in virtual time
     #[arg(long, conflicts_with_all = ["part", "seconds", "decisions"])]
     reports: bool,
-    /// Write the figures to this file
+    /// Write the results as JSON to this file
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
 pub(super) fn run(args: Args) -> anyhow::Result<Outcome> {
     if !(1..=100).contains(&args.rounds) {
-        bail!("--rounds: 1 to 100");
+        bail!("--rounds must be 1 to 100");
     }
     let json = args.json.clone();
     let figures = if args.decisions {
@@ -54,20 +54,22 @@
     Ok(Outcome::Passed)
 }
 
+/// Prints the results as indented JSON and returns them unchanged.
 fn print_figures(figures: Value) -> Value {
     println!("{figures:#}");
     figures
 }
 
+/// Measures a courier and, for comparison, a relay as child processes, and prints the results of each part.
 fn measure_processes(args: Args) -> anyhow::Result<Value> {
     if args.held.iter().any(|count| !(1..=80_000).contains(count)) {
-        bail!("--held: 1 to 80000");
+        bail!("each number of --held must be 1 to 80000");
     }
     if args.destinations.iter().any(|count| !(1..=5000).contains(count)) {
-        bail!("--destinations: 1 to 5000");
+        bail!("each number of --destinations must be 1 to 5000");
     }
     if !(args.seconds > 0.0 && args.seconds <= 600.0) {
-        bail!("--seconds: more than 0 and at most 600");
+        bail!("--seconds must be more than 0 and at most 600");
     }
     let folder = WorkFolder::temporary()?;
     let options = Options {
--- a/crates/testbed/src/cli/up.rs
+++ b/crates/testbed/src/cli/up.rs
@@ -1,4 +1,4 @@
-//! `up`: runs one courier and its endpoints, to try clients against.
+//! `up`: runs one courier and its endpoints, for manual tests of clients.
 
 use super::common::{this_program, Outcome, WorkFolder};
 use crate::socket_run::{self, StackOptions};
@@ -8,10 +8,10 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Args {
-    /// The scenario whose fleet is started
+    /// Name of the built-in scenario, or path of the scenario script, whose endpoints are started
     #[arg(long, default_value = "quiet")]
     day: String,
-    /// Seed of the fleet
+    /// Seed of the random numbers of the fleet
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
