--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,7 +1,7 @@
-//! Experiments in virtual time: every combination of the factors' levels is run on several seeds, in
-//! parallel.
+//! Experiments in virtual time: a full factorial design, in which every combination of the factors' levels is
+//! run with several seeds, in parallel.
 //!
-//! An experiment can be stopped at any moment; the same command continues it. Its results, charts and report
+//! An experiment can be stopped at any moment; the same command resumes it. Its results, charts and report
 //! are written to one folder, and do not depend on the number of threads or on interruptions.
 
 mod cells;
@@ -23,43 +23,44 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The option of `git rev-parse` for the length of a commit id.
-const COMMIT_LENGTH: &str = "--short=12";
+/// The option of `git rev-parse` that abbreviates a commit id to at least 12 digits.
+const COMMIT_ID_LENGTH: &str = "--short=12";
 
 /// How an experiment is run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Number of runs at the same time.
+    /// Number of concurrent runs.
     pub threads: usize,
-    /// Stop after this many runs, to be continued later; `None` for no limit.
+    /// Maximum number of runs to start before the experiment stops; `None` for no limit.
     pub max_runs: Option<u64>,
-    /// Whether a progress bar is drawn.
+    /// Whether a progress bar is drawn in the terminal.
     pub shows_progress: bool,
     /// The command that is stored with the results.
     pub command: String,
-    /// The commit that is stored with the results; only results of the same commit are continued.
+    /// The commit that is stored with the results; results of another commit are not resumed.
     pub commit: String,
 }
 
-/// Whether an experiment has all its runs.
+/// Whether an experiment has the results of all its runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// Every run has its result.
     Complete,
-    /// Some runs are missing; the same command continues with them.
+    /// Some results are missing; the same command resumes with them.
     Partial,
 }
 
-/// The commit that is checked out in the current folder. Says so if tracked files differ from it, and is
-/// `unknown` outside a repository.
+/// The abbreviated id of the commit that is checked out in the current folder, followed by ` and changes` if
+/// tracked files differ from it; `unknown` outside a Git repository.
 pub fn commit() -> String {
-    let Some(id) = git(&["rev-parse", COMMIT_LENGTH, "HEAD"]) else { return "unknown".into() };
+    let Some(id) = git(&["rev-parse", COMMIT_ID_LENGTH, "HEAD"]) else { return "unknown".into() };
     match git(&["status", "--porcelain", "--untracked-files=no"]) {
         Some(changes) if changes.is_empty() => id,
         _ => format!("{id} and changes"),
     }
 }
 
+/// The output of a Git command without surrounding whitespace, or `None` if the command failed.
 fn git(args: &[&str]) -> Option<String> {
     let output = Command::new("git").args(args).output().ok()?;
     if !output.status.success() {
@@ -68,10 +69,11 @@
     Some(String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
-/// Runs what is missing of a plan, then writes all results, charts and the report to `out`.
+/// Runs the combinations and seeds of a plan that have no result yet, then writes all results, charts and the
+/// report to `out`.
 ///
 /// # Errors
-/// Fails if `out` has results of another plan or commit, if a file cannot be written, or if a run fails.
+/// Fails if `out` holds results of another plan or commit, a file cannot be read or written, or a run fails.
 pub fn run(plan: Plan, out: &Path, options: &Options) -> anyhow::Result<Completion> {
     let header = Header { plan, commit: options.commit.clone(), command: options.command.clone() };
     let results = Results::open(out, header)?;
@@ -91,10 +93,10 @@
     let plan = &results.header().plan;
     let bar = progress_bar(plan, options);
     bar.set_position(results.count());
-    let begun = AtomicU64::new(0);
+    let started_runs = AtomicU64::new(0);
     let max_runs = options.max_runs.unwrap_or(u64::MAX);
     parallel::run_all(options.threads, 0..plan.runs(), &|number| {
-        if results.contains(number) || begun.fetch_add(1, Ordering::Relaxed) >= max_runs {
+        if results.contains(number) || started_runs.fetch_add(1, Ordering::Relaxed) >= max_runs {
             return Ok(());
         }
         let RunKey { cell, seed } = plan.run(number);
--- a/crates/testbed/src/experiment/cells.rs
+++ b/crates/testbed/src/experiment/cells.rs
@@ -1,4 +1,4 @@
-//! Results grouped by cell of the grid, their means, and the paired differences between cells.
+//! Results grouped by cell of the factorial design, their means, and the paired differences between cells.
 
 use super::intervals::{mean, paired_difference, Mean};
 use super::measures::{Measure, MEASURES};
@@ -6,13 +6,14 @@
 use super::results::Row;
 use std::collections::BTreeMap;
 
-/// The results of an experiment by cell: a cell is one combination of the factors' levels.
+/// The results of an experiment by cell. A cell is one combination of the factors' levels; it has one result
+/// for each seed that has been run.
 pub struct Cells<'a> {
     pub(super) plan: &'a Plan,
     by_cell: BTreeMap<u64, Vec<&'a Row>>,
 }
 
-/// A measure that the plan shows.
+/// A measure that the plan's tables and charts show.
 #[derive(Clone, Copy)]
 pub(super) struct ShownMeasure {
     /// The index of the measure in [`MEASURES`] and in a row's values.
@@ -20,24 +21,25 @@
     pub(super) measure: &'static Measure,
 }
 
-/// A cell compared with the cell that differs from it only in having the base level.
+/// A cell compared with its base cell, which has the base level of the compared factor and the same levels of
+/// all others.
 pub(super) struct Comparison {
     pub(super) cell: u64,
     /// The index of the measure in [`MEASURES`].
     pub(super) measure: usize,
     /// The mean of the base cell.
     pub(super) base: f64,
-    /// The mean difference to the base cell over the seeds that both cells have.
+    /// The mean of value minus base value over the seeds that both cells have.
     pub(super) difference: Mean,
 }
 
-/// The factor that a plan compares, with the base level.
+/// The factor that a plan compares, and its base level, both as indices into the plan.
 struct ComparedFactor {
     index: usize,
     base_level: usize,
 }
 
-/// Measures that the plan shows, in its order. Names of no measure are skipped.
+/// Measures that the plan shows, in its order. Unknown names are skipped; a plan that was parsed has none.
 pub(super) fn shown_measures(plan: &Plan) -> Vec<ShownMeasure> {
     let find = |name: &String| {
         let index = MEASURES.iter().position(|measure| measure.name == name)?;
@@ -70,7 +72,7 @@
         mean(&values)
     }
 
-    /// Cells that have results.
+    /// The numbers of the cells that have results, in ascending order.
     pub(super) fn cells(&self) -> impl Iterator<Item = u64> + '_ {
         self.by_cell.keys().copied()
     }
@@ -85,7 +87,7 @@
         self.by_cell.values().map(Vec::len).sum()
     }
 
-    /// Compares each cell with its base cell on the same seeds, for every shown measure. Sorted by measure,
+    /// Compares each cell with its base cell, paired by seed, for every shown measure. Sorted by measure,
     /// then by cell. Cells whose base cell has no results are left out.
     pub(super) fn comparisons(&self) -> Vec<Comparison> {
         let Some(compared) = compared_factor(self.plan) else { return Vec::new() };
--- a/crates/testbed/src/experiment/chart.rs
+++ b/crates/testbed/src/experiment/chart.rs
@@ -1,4 +1,5 @@
-//! The chart of a measure over the first factor, a line for each combination of the others.
+//! The chart of a measure's means over the levels of the first factor, with one line for each combination of
+//! the other factors' levels.
 
 use super::cells::{Cells, ShownMeasure};
 use super::intervals::Mean;
@@ -11,11 +12,13 @@
 use std::ops::Range;
 use toml::Value;
 
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (720, 360);
+/// Font sizes in pixels.
 const CAPTION_SIZE: u32 = 15;
 const LEVEL_LABEL_SIZE: u32 = 12;
-/// Numeric levels are placed at their logarithms if the highest exceeds the lowest by more than this factor.
-const LOGARITHMIC_ABOVE: f64 = 20.0;
+/// Numeric levels are placed on a logarithmic axis if highest / lowest exceeds this ratio.
+const MAX_LINEAR_RATIO: f64 = 20.0;
 
 /// A mean at its position on the horizontal axis.
 struct Point {
@@ -24,6 +27,7 @@
 }
 
 impl Point {
+    /// Half the width of the confidence interval; 0 if a single value has none.
     fn half_width(&self) -> f64 {
         if self.mean.half_width.is_finite() {
             self.mean.half_width
@@ -32,10 +36,12 @@
         }
     }
 
+    /// The lower bound of the confidence interval.
     fn low(&self) -> f64 {
         self.mean.mean - self.half_width()
     }
 
+    /// The upper bound of the confidence interval.
     fn high(&self) -> f64 {
         self.mean.mean + self.half_width()
     }
@@ -43,6 +49,7 @@
 
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
+/// The points of each line, by the levels of all factors but the first, joined by commas.
 type Lines = BTreeMap<String, Vec<Point>>;
 
 /// Draws the chart of a measure as SVG. The text is empty if the plan has no factor.
@@ -86,7 +93,8 @@
     area.present().map_err(drawing_error)
 }
 
-/// Draws means as lines with their intervals, and the names of the lines if there are several.
+/// Draws the means as lines with error bars for the confidence intervals, and a legend if there are several
+/// lines.
 fn draw_lines<'a, 'b: 'a>(chart: &mut Chart<'a, 'b>, lines: &Lines) -> anyhow::Result<()> {
     for (index, (name, points)) in lines.iter().enumerate() {
         let colour = Palette99::pick(index).to_rgba();
@@ -108,12 +116,13 @@
     Ok(())
 }
 
-/// The horizontal position of each level: numbers at their value or logarithm, names at even distances.
+/// The horizontal position of each level. Positive numbers are placed at their value or decimal logarithm; if
+/// any level is not a positive number, level k is placed at k.
 fn level_positions(levels: &[Value]) -> Vec<f64> {
     let numbers: Option<Vec<f64>> = levels.iter().map(positive_number).collect();
     let Some(numbers) = numbers else { return (0..levels.len()).map(|index| index as f64).collect() };
     let ratio = maximum(numbers.iter().copied()) / minimum(numbers.iter().copied());
-    if ratio > LOGARITHMIC_ABOVE {
+    if ratio > MAX_LINEAR_RATIO {
         return numbers.iter().map(|number| number.log10()).collect();
     }
     numbers
@@ -128,6 +137,7 @@
     Some(number).filter(|&number| number > 0.0)
 }
 
+/// The means of a measure, grouped into lines. `positions` are those of the first factor's levels.
 fn lines(plan: &Plan, cells: &Cells, measure: usize, positions: &[f64]) -> Lines {
     let mut lines = Lines::new();
     for cell in cells.cells() {
@@ -139,6 +149,7 @@
     lines
 }
 
+/// The range of the horizontal axis: all positions, and 6 % of their spread on each side.
 fn x_range(positions: &[f64]) -> Range<f64> {
     let left = minimum(positions.iter().copied());
     let right = maximum(positions.iter().copied());
@@ -148,7 +159,7 @@
 
 struct YAxis {
     range: Range<f64>,
-    /// The height at which the names of the levels are written.
+    /// The value at whose height the names of the levels are written, below all intervals.
     level_labels: f64,
 }
 
--- a/crates/testbed/src/experiment/intervals.rs
+++ b/crates/testbed/src/experiment/intervals.rs
@@ -1,32 +1,33 @@
-//! Means and paired differences with their 95 % confidence intervals.
+//! Means and means of paired differences, with 95 % confidence intervals by Student's t-distribution.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 #[cfg(test)]
 mod tests;
 
-/// The quantile of the distribution at the upper end of a 95 % interval.
+/// The quantile of the t-distribution at the upper bound of a two-sided 95 % interval.
 const UPPER_QUANTILE: f64 = 0.975;
 
-/// A mean with its confidence interval.
+/// A mean with its confidence interval `mean ± half_width`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
     /// Number of values.
     pub count: usize,
-    /// The mean of the values.
+    /// The arithmetic mean of the values; 0 without values.
     pub mean: f64,
-    /// Half the width of the interval; infinite for less than two values.
+    /// Half the width of the interval; infinite for fewer than two values.
     pub half_width: f64,
 }
 
 impl Mean {
-    /// Whether the interval does not contain zero.
+    /// Whether the interval does not contain zero, so that the mean differs from zero significantly.
     pub fn excludes_zero(&self) -> bool {
         self.mean.abs() > self.half_width
     }
 }
 
-/// The mean of independent values, with its interval by Student's t-distribution.
+/// The mean of n independent values. Half the width of its interval is t(0.975, n - 1) * s / sqrt(n), where s
+/// is the sample standard deviation.
 pub fn mean(values: &[f64]) -> Mean {
     let count = values.len();
     let mean = values.iter().sum::<f64>() / count.max(1) as f64;
@@ -41,7 +42,8 @@
     Mean { count, mean, half_width: t * (variance / count as f64).sqrt() }
 }
 
-/// The mean difference of other values to the base values at the same indices, with its interval.
+/// The mean of `other[i] - base[i]` over all pairs. Deviations that both values of a pair share, such as
+/// those caused by their common seed, cancel out.
 pub fn paired_difference(base: &[f64], other: &[f64]) -> Mean {
     let differences: Vec<f64> = base.iter().zip(other).map(|(base, other)| other - base).collect();
     mean(&differences)
--- a/crates/testbed/src/experiment/measures.rs
+++ b/crates/testbed/src/experiment/measures.rs
@@ -1,4 +1,4 @@
-//! The measures of a run, computed from its records and the report of the checks.
+//! The measures of a run, computed from its records and the report of the conformance checks.
 
 use crate::emulated_run::CheckedRun;
 use hdrhistogram::Histogram;
@@ -7,17 +7,17 @@
 use linnetcart_scenario::runner::ScenarioRecords;
 use std::collections::BTreeMap;
 
-/// The index of the rule about recoveries from an outage in the report.
-const OUTAGE_RETURN_RULE: usize = 3;
-/// One hour in microseconds; longer times until a message is served are recorded as one hour.
+/// The index of rule 4, on the load during the recovery from an outage, in [`Report::rules`].
+const RECOVERY_RULE: usize = 3;
+/// One hour in microseconds; longer times to delivery are recorded as one hour.
 const MAX_TIME_US: u64 = 3_600_000_000;
-/// Replaces a weight of zero in a quotient.
-const SMALLEST_WEIGHT: f64 = 1e-9;
+/// Lower bound of a divisor, so that a requested weight of zero does not divide by zero.
+const MIN_REQUESTED_WEIGHT: f64 = 1e-9;
 
-/// A measure.
+/// A measure of a run: one number, such as a share or a percentile.
 #[derive(Clone, Copy, Debug)]
 pub struct Measure {
-    /// The name, as in tables, plans and result files.
+    /// The name in plans, tables and result files.
     pub name: &'static str,
     /// The definition, with the unit.
     pub about: &'static str,
@@ -55,8 +55,8 @@
     of_run(&checked.fleet, &run.records, run.peak_connections, &checked.report)
 }
 
-/// The measures of a run, in the order of [`MEASURES`]. `peak_connections` is the maximum number of
-/// connections at the same time.
+/// The measures of a run, in the order of [`MEASURES`]. `peak_connections` is the maximum number of open
+/// connections; runs on sockets do not record it and pass 0.
 pub fn of_run(
     fleet: &Fleet,
     records: &ScenarioRecords,
@@ -65,14 +65,14 @@
 ) -> Vec<f64> {
     let total = |figure: fn(&ClassSummary) -> u64| report.classes.iter().map(figure).sum::<u64>() as f64;
     let messages = total(|class| class.messages).max(1.0);
-    let weight_asked: f64 = report.classes.iter().map(|class| class.requested_weight).sum();
+    let requested_weight: f64 = report.classes.iter().map(|class| class.requested_weight).sum();
     let served = ServedMessages::of(&records.records, &fleet.invariants(Timebase::Emulated));
     let rules_broken: u64 = report.rules.iter().map(|rule| rule.violations).sum();
-    let outage_returns = &report.rules[OUTAGE_RETURN_RULE];
+    let recoveries = &report.rules[RECOVERY_RULE];
     vec![
         report.service,
         report.worst_stretch,
-        served.late_weight / weight_asked.max(SMALLEST_WEIGHT),
+        served.late_weight / requested_weight.max(MIN_REQUESTED_WEIGHT),
         total(|class| class.within_objective) / messages,
         total(|class| class.rejected) / messages,
         total(|class| class.failed) / messages,
@@ -82,7 +82,7 @@
         report.calls as f64 / messages,
         report.rejected_calls as f64 / messages,
         rules_broken as f64,
-        outage_returns.violations as f64 / outage_returns.checked.max(1) as f64,
+        recoveries.violations as f64 / recoveries.checked.max(1) as f64,
         records.overloads.len() as f64,
         served.percentile_ms(0.5),
         served.percentile_ms(0.95),
@@ -91,11 +91,13 @@
     ]
 }
 
-/// The messages that were served, by the time since their first submission.
+/// Delivery times of the messages that were served, each from its first submission to the first answer
+/// `Served`.
 struct ServedMessages {
-    /// Priority weight of those that were served after their latency objective.
+    /// Sum of the priority weights of messages served after their latency objective, as reduced by their age
+    /// ([`Class::weight_at`](linnetcart_conformance::Class::weight_at)).
     late_weight: f64,
-    /// Times in microseconds, to three digits; `None` if the histogram could not be created.
+    /// Times in microseconds, to three significant digits; `None` if the histogram could not be created.
     times: Option<Histogram<u64>>,
 }
 
@@ -137,6 +139,7 @@
         }
     }
 
+    /// A quantile of the delivery times, in milliseconds.
     fn percentile_ms(&self, quantile: f64) -> f64 {
         let microseconds = self.times.as_ref().map_or(0, |times| times.value_at_quantile(quantile));
         microseconds as f64 / 1e3
--- a/crates/testbed/src/experiment/plan/factors.rs
+++ b/crates/testbed/src/experiment/plan/factors.rs
@@ -1,4 +1,4 @@
-//! Applies factors to a recipe: what each factor changes at a level.
+//! Applies a factor's level to the recipe of a run.
 
 use crate::baselines;
 use crate::emulated_run::Recipe;
@@ -19,9 +19,9 @@
 }
 
 impl Setting {
-    /// Parses `NAME=LEVEL`. A level that is no TOML value is taken as a string.
+    /// Parses `NAME=LEVEL`. A level that is not a TOML value is taken as a string.
     pub fn parse(text: &str) -> Result<Setting, String> {
-        let (factor, level) = text.split_once('=').ok_or("NAME=LEVEL is expected")?;
+        let (factor, level) = text.split_once('=').ok_or("expected NAME=LEVEL")?;
         let table = toml::from_str::<Table>(&format!("level = {level}")).ok();
         let parsed = table.and_then(|mut table| table.remove("level"));
         let level = parsed.unwrap_or_else(|| Value::String(level.into()));
@@ -32,13 +32,13 @@
 /// Sets a factor of a recipe to a level.
 ///
 /// # Errors
-/// Fails if there is no factor of the name, or the level is not valid for it.
+/// Fails if the name is neither a factor nor a field of the scenario, or the level is not valid for it.
 pub fn apply_factor(recipe: &mut Recipe, name: &str, level: &Value) -> anyhow::Result<()> {
     match name {
-        "policy" => set_policy(recipe, name_of(level)?),
-        "trouble" => set_faults(&mut recipe.scenario, name_of(level)?),
-        "destinations" => multiply_destinations(&mut recipe.scenario, number(level)?),
-        "delay_ms" => set_delay(recipe, number(level)?),
+        "policy" => set_policy(recipe, string_level(level)?),
+        "trouble" => set_faults(&mut recipe.scenario, string_level(level)?),
+        "destinations" => multiply_destinations(&mut recipe.scenario, numeric_level(level)?),
+        "delay_ms" => set_delay(recipe, numeric_level(level)?),
         path => {
             recipe.scenario = with_field(&recipe.scenario, path, level)?;
             Ok(())
@@ -46,44 +46,50 @@
     }
 }
 
-fn number(level: &Value) -> anyhow::Result<f64> {
+fn numeric_level(level: &Value) -> anyhow::Result<f64> {
     match level {
         Value::Integer(number) => Ok(*number as f64),
         Value::Float(number) => Ok(*number),
-        _ => bail!("a number is wanted"),
+        _ => bail!("the level must be a number"),
     }
 }
 
-fn name_of(level: &Value) -> anyhow::Result<&str> {
-    level.as_str().context("a name is wanted")
+fn string_level(level: &Value) -> anyhow::Result<&str> {
+    level.as_str().context("the level must be a string")
 }
 
 fn set_policy(recipe: &mut Recipe, policy: &str) -> anyhow::Result<()> {
-    ensure!(baselines::NAMES.contains(&policy), "there are {}", baselines::NAMES.join(", "));
+    ensure!(
+        baselines::NAMES.contains(&policy),
+        "unknown policy; the policies are {}",
+        baselines::NAMES.join(", ")
+    );
     recipe.policy = policy.into();
     Ok(())
 }
 
-/// Replaces the faults of a scenario by those of another, at the same fractions of the duration.
+/// Replaces the faults of a scenario by those of the scenario `source`, whose starts and durations are scaled
+/// by the ratio of the two scenarios' durations. `none` removes all faults, `as-written` keeps them.
 fn set_faults(scenario: &mut Scenario, source: &str) -> anyhow::Result<()> {
     match source {
         "as-written" => {}
         "none" => scenario.faults.clear(),
         other => {
             let other = Scenario::find(other)?;
-            let stretch = scenario.seconds / other.seconds;
+            let duration_ratio = scenario.seconds / other.seconds;
             scenario.faults = other.faults;
             for fault in &mut scenario.faults {
-                fault.at *= stretch;
-                fault.lasts *= stretch;
+                fault.at *= duration_ratio;
+                fault.lasts *= duration_ratio;
             }
         }
     }
     Ok(())
 }
 
+/// Multiplies the number of destinations of each kind; at least one remains of each.
 fn multiply_destinations(scenario: &mut Scenario, factor: f64) -> anyhow::Result<()> {
-    ensure!(factor > 0.0 && factor <= 1000.0, "more than 0 and at most 1000");
+    ensure!(factor > 0.0 && factor <= 1000.0, "the level must be more than 0 and at most 1000");
     for kind in &mut scenario.kind {
         let destinations = (f64::from(kind.destinations) * factor).round() as u32;
         kind.destinations = destinations.max(1);
@@ -91,14 +97,15 @@
     Ok(())
 }
 
+/// Sets the minimum one-way network delay; the random part that is added to it stays.
 fn set_delay(recipe: &mut Recipe, milliseconds: f64) -> anyhow::Result<()> {
-    ensure!((0.0..=MAX_DELAY_MS).contains(&milliseconds), "0 to {MAX_DELAY_MS}");
+    ensure!((0.0..=MAX_DELAY_MS).contains(&milliseconds), "the level must be 0 to {MAX_DELAY_MS}");
     recipe.model.delay.minimum = (milliseconds * NANOSECONDS_PER_MILLISECOND) as u64;
     Ok(())
 }
 
-/// Returns the scenario with one field of its script changed. The path names fields and indices, separated by
-/// dots.
+/// Returns the scenario with one field of its script changed. The path consists of field names and array
+/// indices, separated by dots. A floating-point field also takes an integer.
 fn with_field(scenario: &Scenario, path: &str, level: &Value) -> anyhow::Result<Scenario> {
     let mut script = Value::try_from(scenario)?;
     let mut field = &mut script;
@@ -108,7 +115,7 @@
             Value::Array(items) => part.parse::<usize>().ok().and_then(|index| items.get_mut(index)),
             _ => None,
         };
-        field = next.with_context(|| format!("the day's script has no `{part}` there"))?;
+        field = next.with_context(|| format!("the scenario has no field `{part}` there"))?;
     }
     *field = match (&*field, level) {
         (Value::Float(_), Value::Integer(number)) => Value::Float(*number as f64),
--- a/crates/testbed/src/experiment/report_page.rs
+++ b/crates/testbed/src/experiment/report_page.rs
@@ -1,5 +1,4 @@
-//! What the results of an experiment show: tables for the terminal, charts, and one self-contained page of
-//! HTML.
+//! Renders the results of an experiment: tables for the terminal, charts, and one self-contained HTML page.
 
 use super::cells::{shown_measures, Cells, Comparison};
 use super::chart;
@@ -24,18 +23,18 @@
 pub struct MeasureChart {
     /// The measure's name.
     pub measure: &'static str,
-    /// The chart.
+    /// The chart as an SVG document; empty if the plan has no factor.
     pub svg: String,
 }
 
-/// The comparison that a plan asks for, with its results.
+/// The comparison that a plan asks for, and the table of its results.
 struct ComparisonSection<'a> {
     compare: &'a Compare,
     table: Table,
 }
 
-/// Formats a figure with as many decimal places as its magnitude makes meaningful.
-fn short(value: f64) -> String {
+/// Formats a number with no decimal places from 100, one from 10, and three below.
+fn format_number(value: f64) -> String {
     let magnitude = value.abs();
     if !value.is_finite() || magnitude == 0.0 {
         format!("{value}")
@@ -48,11 +47,12 @@
     }
 }
 
-fn with_interval(mean: &Mean) -> String {
+/// Formats a mean as `mean ±half_width`, or as the mean alone if it has no interval.
+fn format_mean(mean: &Mean) -> String {
     if mean.half_width.is_finite() {
-        format!("{} ±{}", short(mean.mean), short(mean.half_width))
+        format!("{} ±{}", format_number(mean.mean), format_number(mean.half_width))
     } else {
-        short(mean.mean)
+        format_number(mean.mean)
     }
 }
 
@@ -61,6 +61,7 @@
         self.plan.factor.iter().map(|factor| factor.name.clone()).collect()
     }
 
+    /// A row for each cell: its levels, its number of runs, and the mean of each shown measure.
     fn means_table(&self) -> Table {
         let shown = shown_measures(self.plan);
         let mut heading = self.factor_names();
@@ -70,12 +71,13 @@
         for cell in self.cells() {
             let mut row = self.plan.levels(cell);
             row.push(self.run_count(cell).to_string());
-            row.extend(shown.iter().map(|shown| with_interval(&self.mean(cell, shown.index))));
+            row.extend(shown.iter().map(|shown| format_mean(&self.mean(cell, shown.index))));
             table.add_row(row);
         }
         table
     }
 
+    /// A row for each measure and cell: the mean of the base cell and the mean paired difference to it.
     fn comparison_table(&self) -> Table {
         let mut heading = vec!["measure".to_owned()];
         heading.extend(self.factor_names());
@@ -93,13 +95,13 @@
         let mut row = vec![MEASURES[comparison.measure].name.to_owned()];
         row.extend(self.plan.levels(comparison.cell));
         row.push(difference.count.to_string());
-        row.push(short(comparison.base));
-        row.push(with_interval(difference));
+        row.push(format_number(comparison.base));
+        row.push(format_mean(difference));
         row.push(verdict.to_owned());
         row
     }
 
-    /// Returns the comparison, or `None` if the plan has none or no cells could be compared.
+    /// Returns the comparison, or `None` if the plan asks for none or no cell has a base cell with results.
     fn comparison_section(&self) -> Option<ComparisonSection<'_>> {
         let compare = self.plan.compare.as_ref()?;
         let table = self.comparison_table();
@@ -109,7 +111,7 @@
         Some(ComparisonSection { compare, table })
     }
 
-    /// The means and the comparison as text for the terminal.
+    /// The tables of the means and of the comparison as text for the terminal.
     pub fn tables(&self) -> String {
         let mut text = self.means_table().to_text();
         if let Some(ComparisonSection { compare, table }) = self.comparison_section() {
@@ -130,7 +132,7 @@
         Ok(charts)
     }
 
-    /// The tables, the charts and the plan as one page that refers to no other file.
+    /// The tables, the charts and the plan as one HTML page that refers to no other file.
     pub fn html(&self, header: &Header) -> anyhow::Result<String> {
         let mut page = String::from(PAGE_START);
         self.write_introduction(&mut page, header);
@@ -160,7 +162,7 @@
         let _ = writeln!(
             page,
             "<p>{runs} of {} runs, seeds {} to {last_seed}; commit {}; <code>{}</code>. \
-             Figures are means with 95 % intervals (Student's t).</p>",
+             Values are means with 95 % confidence intervals (Student's t).</p>",
             plan.runs(),
             plan.first_seed,
             escape_html(&header.commit),
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -1,5 +1,5 @@
-//! Stored results: one line of JSON for each finished run, so that an interruption loses none, and one
-//! Parquet file with all of them.
+//! Stored results: one line of JSON for each finished run, written when the run ends, so that an interruption
+//! loses none, and one Parquet file with all of them.
 
 use super::measures::MEASURES;
 use super::plan::{Plan, RunKey};
@@ -16,29 +16,33 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+/// One line of JSON for each result.
 const LINES_FILE: &str = "runs.jsonl";
+/// The next version of [`LINES_FILE`], until it is complete and renamed.
 const NEW_LINES_FILE: &str = "runs.new";
+/// The [`Header`] as JSON.
 const HEADER_FILE: &str = "experiment.json";
 const PARQUET_FILE: &str = "results.parquet";
+/// The next version of [`PARQUET_FILE`], until it is complete and renamed.
 const NEW_PARQUET_FILE: &str = "results.new";
 
-/// A run's result.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The run's number.
+    /// The number of the run in the plan.
     pub run: u64,
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Its measures, in the order of [`MEASURES`].
+    /// The measures of the run, in the order of [`MEASURES`].
     pub values: Vec<f64>,
-    /// The digest of all events of the run.
+    /// The digest of the run's network segments; equal digests show that two runs were identical.
     pub digest: String,
 }
 
 /// The experiment that a folder of results belongs to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// The plan.
+    /// The plan of the experiment.
     pub plan: Plan,
     /// The commit that was checked out when the experiment was started, or `unknown`.
     pub commit: String,
@@ -46,7 +50,7 @@
     pub command: String,
 }
 
-/// A folder of results.
+/// The folder of an experiment's results. Several threads add results at the same time.
 #[derive(Debug)]
 pub struct Results {
     dir: PathBuf,
@@ -54,7 +58,7 @@
     rows: Mutex<StoredRows>,
 }
 
-/// Rows in memory, and the file that they are appended to.
+/// All results in memory, and the file that each new one is appended to.
 #[derive(Debug)]
 struct StoredRows {
     file: File,
@@ -62,7 +66,7 @@
 }
 
 impl Results {
-    /// Opens a folder and loads the results that it has already.
+    /// Opens or creates a folder and loads the results that it holds.
     ///
     /// # Errors
     /// Fails if the folder belongs to another plan or commit, or cannot be read and written.
@@ -81,32 +85,33 @@
         Ok(Results { dir: dir.to_owned(), header, rows: Mutex::new(StoredRows { file, by_run }) })
     }
 
-    fn rows_guard(&self) -> MutexGuard<'_, StoredRows> {
+    /// Locks the rows, even if another thread has panicked while it held the lock.
+    fn lock_rows(&self) -> MutexGuard<'_, StoredRows> {
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the run has its result.
+    /// Whether the run of this number has a result.
     pub fn contains(&self, run: u64) -> bool {
-        self.rows_guard().by_run.contains_key(&run)
+        self.lock_rows().by_run.contains_key(&run)
     }
 
     /// Number of runs with results.
     pub fn count(&self) -> u64 {
-        self.rows_guard().by_run.len() as u64
+        self.lock_rows().by_run.len() as u64
     }
 
-    /// Adds the result of a run.
+    /// Appends the result of a run to the file and keeps it in memory.
     pub fn add(&self, row: Row) -> anyhow::Result<()> {
         let line = serde_json::to_string(&row)? + "\n";
-        let mut rows = self.rows_guard();
+        let mut rows = self.lock_rows();
         rows.file.write_all(line.as_bytes())?;
         rows.by_run.insert(row.run, row);
         Ok(())
     }
 
-    /// All results, by run.
+    /// All results, in the order of the run numbers.
     pub fn rows(&self) -> Vec<Row> {
-        self.rows_guard().by_run.values().cloned().collect()
+        self.lock_rows().by_run.values().cloned().collect()
     }
 
     /// The experiment that the folder belongs to.
@@ -114,7 +119,8 @@
         &self.header
     }
 
-    /// Writes all results as one Parquet file and returns its path. The same results produce the same bytes.
+    /// Writes all results as one Parquet file and returns its path. The same results and header produce the
+    /// same bytes.
     pub fn write_parquet(&self) -> anyhow::Result<PathBuf> {
         let batch = record_batch(&self.header.plan, &self.rows())?;
         let properties = WriterProperties::builder().set_key_value_metadata(Some(self.metadata()?)).build();
@@ -138,6 +144,7 @@
     }
 }
 
+/// Fails if the folder has a header with another plan or commit.
 fn ensure_same_experiment(dir: &Path, header_path: &Path, header: &Header) -> anyhow::Result<()> {
     if !header_path.exists() {
         return Ok(());
@@ -151,10 +158,10 @@
     } else {
         return Ok(());
     };
-    bail!("{}: begun with {difference}; choose another --out, or remove it", dir.display())
+    bail!("{}: holds results of {difference}; choose another --out, or remove it", dir.display())
 }
 
-/// Reads the stored results. An incomplete last line, as an interruption leaves it, is skipped.
+/// Reads the stored results. An incomplete last line, which an interrupted write leaves behind, is skipped.
 fn read_lines(path: &Path, plan: &Plan) -> anyhow::Result<BTreeMap<u64, Row>> {
     let mut rows = BTreeMap::new();
     let Ok(file) = File::open(path) else { return Ok(rows) };
@@ -170,7 +177,7 @@
         let row: Row = serde_json::from_str(&line).with_context(place)?;
         ensure!(
             belongs_to(&row, plan),
-            "{}: no run of this plan; choose another --out, or remove it",
+            "{}: not a result of this plan; choose another --out, or remove it",
             place()
         );
         rows.insert(row.run, row);
@@ -178,10 +185,12 @@
     Ok(rows)
 }
 
+/// Whether the row has a run number, a seed and a number of values that fit the plan.
 fn belongs_to(row: &Row, plan: &Plan) -> bool {
     row.run < plan.runs() && row.seed == plan.run(row.run).seed && row.values.len() == MEASURES.len()
 }
 
+/// Replaces the file of results atomically: writes a new file, then renames it.
 fn rewrite_lines(new_path: &Path, path: &Path, rows: &BTreeMap<u64, Row>) -> anyhow::Result<()> {
     let mut text = String::new();
     for row in rows.values() {
@@ -192,7 +201,7 @@
     std::fs::rename(new_path, path).with_context(|| path.display().to_string())
 }
 
-/// Converts rows to columns: run and seed, the level of each factor, the measures, the digest.
+/// Converts rows to Arrow columns: run, seed, the level of each factor as text, the measures, the digest.
 fn record_batch(plan: &Plan, rows: &[Row]) -> anyhow::Result<RecordBatch> {
     let mut fields = Vec::new();
     let mut columns: Vec<ArrayRef> = Vec::new();
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -17,16 +17,17 @@
         self.rows.push(row);
     }
 
-    /// Whether there is nothing below the heading.
+    /// Whether there are no rows below the heading.
     pub(super) fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
+    /// The heading, then the rows.
     fn lines(&self) -> impl Iterator<Item = &Vec<String>> {
         std::iter::once(&self.heading).chain(&self.rows)
     }
 
-    /// The table as text, each column as wide as its widest cell and aligned to the right.
+    /// The table as text. Each column is right-aligned and as wide as its widest cell.
     pub(super) fn to_text(&self) -> String {
         let widths = self.column_widths();
         let mut text = String::new();
@@ -65,7 +66,7 @@
     let _ = writeln!(html, "<tr>{cells}</tr>");
 }
 
-/// Escapes the characters that have a meaning in HTML.
+/// Escapes the characters that HTML interprets in text and in quoted attributes.
 pub(super) fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
