--- a/crates/testbed/src/charts.rs
+++ b/crates/testbed/src/charts.rs
@@ -1,4 +1,4 @@
-//! Draws charts (SVG) and tables (Markdown) from figures that other subcommands wrote.
+//! Draws charts (SVG) and writes tables (Markdown) from the result files of other subcommands.
 
 mod baseline;
 pub(crate) mod drawing;
@@ -12,13 +12,14 @@
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
-/// The start of a recorded stream of reports; other files are JSON.
+/// The prefix of the first series name in a recorded stream of metrics; all other files are JSON.
 const STREAM_START: &str = "linnetcart";
 
-/// Reads files of any supported form and writes their charts and tables to a folder.
+/// Reads files of any supported form and writes their charts and tables to a folder, which is created if it
+/// does not exist.
 ///
 /// # Errors
-/// Fails if a file cannot be read or has no supported form, or if a chart or table cannot be written.
+/// Fails if a file cannot be read or is of no supported form, or if a chart or table cannot be written.
 pub fn report(files: &[PathBuf], out: &Path) -> anyhow::Result<()> {
     std::fs::create_dir_all(out).with_context(|| out.display().to_string())?;
     let mut scenario_runs = ScenarioRuns::default();
@@ -28,7 +29,8 @@
     scenario_runs.write(out)
 }
 
-/// Draws what a file holds, or collects the runs of a scenario, which are drawn together.
+/// Draws the charts of a recorded stream or a baseline. Runs of scenarios are only collected, since the runs
+/// of all files are drawn together.
 fn report_file(file: &Path, out: &Path, scenario_runs: &mut ScenarioRuns) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     if text.starts_with(STREAM_START) {
@@ -38,8 +40,9 @@
     if baseline::is_baseline(&document) {
         return baseline::draw(&document, out);
     }
-    let runs = RunsDocument::parse(&document)
-        .with_context(|| format!("{}: neither a day's nor a floor's figures", file.display()))?;
+    let runs = RunsDocument::parse(&document).with_context(|| {
+        format!("{}: not a result of `day`, `emulate`, `floor` or `tail`", file.display())
+    })?;
     scenario_runs.add(runs);
     Ok(())
 }
--- a/crates/testbed/src/charts/drawing.rs
+++ b/crates/testbed/src/charts/drawing.rs
@@ -1,4 +1,4 @@
-//! Size, colours and layout that all charts share.
+//! Size, colours and layout that several charts share.
 
 use anyhow::anyhow;
 use plotters::coord::Shift;
@@ -9,17 +9,18 @@
 pub(super) const SIZE: (u32, u32) = (760, 380);
 pub(super) const COLOURS: [RGBColor; 3] =
     [RGBColor(31, 119, 180), RGBColor(255, 127, 14), RGBColor(44, 160, 44)];
+/// Font size of captions, in pixels.
 pub(super) const CAPTION_SIZE: u32 = 18;
 const FONT: &str = "sans-serif";
 
-/// Converts an error of the drawing library.
+/// Converts an error of the drawing library (plotters).
 pub(crate) fn drawing_error<E: Error + Send + Sync + 'static>(
     error: DrawingAreaErrorKind<E>,
 ) -> anyhow::Error {
     anyhow!("the chart could not be drawn: {error}")
 }
 
-/// The caption of a chart, and the space for its labels, in pixels.
+/// The caption of a chart, its font size, and the width of the labels of the vertical axis, both in pixels.
 pub(crate) struct ChartLayout<'a> {
     pub(crate) caption: &'a str,
     pub(crate) caption_size: u32,
--- a/crates/testbed/src/charts/scenario_runs.rs
+++ b/crates/testbed/src/charts/scenario_runs.rs
@@ -1,4 +1,5 @@
-//! Runs of scenarios, as `day --json` and `emulate --json` write them: a table and a chart for each scenario.
+//! Runs of scenarios, as `day --json` and `emulate --json` write them: one table and one chart for each
+//! scenario, over all seeds and policies.
 
 use super::drawing::{drawing_error, ChartLayout, CAPTION_SIZE, COLOURS, SIZE};
 use crate::statistics::{maximum, median, minimum};
@@ -9,34 +10,34 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// The figures of one policy on one seed.
+/// The results of one policy with one seed.
 #[derive(Clone, Debug, PartialEq)]
 struct Run {
     seed: u64,
-    /// Priority weight delivered over the weight asked for.
+    /// Delivered priority weight divided by requested weight.
     service: f64,
-    /// The same for the worst ten seconds.
+    /// The lowest such ratio over the messages first submitted within one ten-second interval.
     worst_stretch: f64,
-    /// Number of cases in which an invariant was broken.
+    /// Number of cases in which one of the six rules was broken.
     rules_broken: u64,
 }
 
 type RunsByPolicy = BTreeMap<String, Vec<Run>>;
 
-/// The run of one policy.
+/// A run and the name of its policy.
 struct PolicyRun {
     policy: String,
     run: Run,
 }
 
-/// One file: the runs of several policies on the same scenario and seed.
+/// The content of one file: the runs of one or more policies on the same scenario and seed.
 pub(super) struct RunsDocument {
     scenario: String,
     runs: Vec<PolicyRun>,
 }
 
 impl RunsDocument {
-    /// Parses a document, or returns `None` if it is no document of runs.
+    /// Parses a document, or returns `None` if it lacks a field that documents of runs have.
     pub(super) fn parse(document: &Value) -> Option<RunsDocument> {
         let scenario = document["day"].as_str()?.to_owned();
         let seed = document["seed"].as_u64()?;
@@ -49,7 +50,7 @@
     }
 }
 
-/// Runs by scenario and policy.
+/// The runs of all files, by scenario and policy.
 #[derive(Debug, Default)]
 pub(super) struct ScenarioRuns {
     by_scenario: BTreeMap<String, RunsByPolicy>,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Writes a chart and a table for each scenario.
+    /// Writes `SCENARIO.svg` and `SCENARIO.md` for each scenario.
     pub(super) fn write(mut self, out: &Path) -> anyhow::Result<()> {
         for (scenario, by_policy) in &mut self.by_scenario {
             for runs in by_policy.values_mut() {
@@ -88,6 +89,7 @@
     })
 }
 
+/// A Markdown table with a row for each policy: median, minimum and maximum over its seeds.
 fn table(by_policy: &RunsByPolicy) -> String {
     let mut text = String::from(
         "| policy | seeds | served worth: median | least | most | worst 10 s: median \
@@ -111,7 +113,7 @@
     text
 }
 
-/// Draws the service by seed, with one colour for each policy.
+/// Draws [`Run::service`] over the seed as a scatter plot, with one colour for each policy.
 fn draw_chart(scenario: &str, by_policy: &RunsByPolicy, path: &Path) -> anyhow::Result<()> {
     let last_seed = by_policy.values().flatten().map(|run| run.seed).max().unwrap_or(1) as f64;
     let caption = format!("{scenario}: served worth by seed");
--- a/crates/testbed/src/charts/stream.rs
+++ b/crates/testbed/src/charts/stream.rs
@@ -1,5 +1,7 @@
-//! A recorded stream of reports, as `tail --record` writes it. Three charts show which destinations are near
-//! their limit, how much priority weight is late or lost, and which destinations are ejected.
+//! Charts of a recorded stream of metrics, as `tail --record` writes it: the used share of each destination's
+//! limit, the priority weight that is late or lost in each class, and the state of each destination.
+//!
+//! Only series that are named as Graphite paths are drawn. A line has the points of all couriers.
 
 use super::drawing::{drawing_error, ChartLayout, CAPTION_SIZE, SIZE};
 use anyhow::Context;
@@ -8,28 +10,31 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Maximum number of lines in a chart, so that they can be told apart.
+/// Maximum number of lines in a chart; more could not be told apart.
 const MAX_LINES: usize = 8;
 /// The value of the field `state` of a destination in service.
 const STATE_IN_SERVICE: f64 = 2.0;
-/// Fields of priority weight are in thousandths.
-const THOUSANDTHS: f64 = 1000.0;
+/// Metrics of priority weight are in thousandths (`worth_late_milli`, `worth_lost_milli`).
+const MILLI_PER_UNIT: f64 = 1000.0;
 
-/// A value at a second of the stream.
+/// A value, and its time in seconds since the first point of the stream.
 #[derive(Clone, Copy, Debug)]
 struct Point {
     second: f64,
     value: f64,
 }
 
-/// The points of each line, by the name of the line.
+/// The points of each line, by the line's name in the legend.
 type Lines = BTreeMap<String, Vec<Point>>;
 
-/// Lines of the three charts.
+/// The lines of the three charts.
 #[derive(Debug, Default)]
 struct StreamLines {
+    /// Used share of the limit, by destination.
     limit_used: Lines,
+    /// Cumulative weight late and lost, by class.
     late_or_lost_weight: Lines,
+    /// State, by destination: 2 in service, 1 recovering, 0 ejected.
     state: Lines,
 }
 
@@ -40,7 +45,7 @@
         for (index, line) in text.lines().enumerate() {
             let point = graphite::decode_line(line);
             let NamedPoint { name, value, time_s: second } =
-                point.with_context(|| format!("line {}: no point", index + 1))?;
+                point.with_context(|| format!("line {} is not a data point", index + 1))?;
             first_second = first_second.min(second);
             let second = (second - first_second) as f64;
             lines.add(&name, Point { second, value });
@@ -48,7 +53,7 @@
         Ok(lines)
     }
 
-    /// Adds a point to the chart that shows its series. Series that no chart shows are ignored.
+    /// Adds a point to the line of its destination or class. Series that no chart shows are ignored.
     fn add(&mut self, name: &str, point: Point) {
         let Some((subject, field)) = name.rsplit_once('.') else { return };
         if let Some(destination) = destination_of(subject) {
@@ -74,18 +79,19 @@
             "worth_lost_milli" => format!("{class} lost"),
             _ => return,
         };
-        let weight = Point { value: point.value / THOUSANDTHS, ..point };
+        let weight = Point { value: point.value / MILLI_PER_UNIT, ..point };
         add_point(&mut self.late_or_lost_weight, name, weight);
     }
 }
 
-/// The destination of a series, or `None` if the series is not of a whole destination.
+/// The destination of a series, or `None` if the series is about something else, such as one class or route
+/// of a destination.
 fn destination_of(subject: &str) -> Option<&str> {
     let (_, destination) = subject.rsplit_once(".dest.")?;
     Some(destination).filter(|destination| !destination.contains('.'))
 }
 
-/// The class of a series, or `None` if the series is not of a class over all destinations.
+/// The class of a series, or `None` if the series is not about one class over all destinations.
 fn class_of(subject: &str) -> Option<&str> {
     let (_, class) = subject.rsplit_once(".class.")?;
     Some(class).filter(|_| !subject.contains(".dest."))
@@ -95,35 +101,40 @@
     lines.entry(name).or_default().push(point);
 }
 
-/// The lines with the highest peaks.
-fn highest(lines: Lines) -> Lines {
+/// The [`MAX_LINES`] lines with the highest maxima.
+fn lines_with_highest_maxima(lines: Lines) -> Lines {
     let mut ranked: Vec<(String, Vec<Point>)> = lines.into_iter().collect();
-    let peak = |points: &[Point]| points.iter().map(|point| point.value).reduce(f64::max).unwrap_or(0.0);
-    ranked.sort_by(|(_, one), (_, other)| peak(one).total_cmp(&peak(other)));
+    let maximum = |points: &[Point]| points.iter().map(|point| point.value).reduce(f64::max).unwrap_or(0.0);
+    ranked.sort_by(|(_, one), (_, other)| maximum(one).total_cmp(&maximum(other)));
     ranked.reverse();
     ranked.into_iter().take(MAX_LINES).collect()
 }
 
-/// The lines with the lowest troughs.
-fn lowest(lines: Lines) -> Lines {
+/// The [`MAX_LINES`] lines with the lowest minima.
+fn lines_with_lowest_minima(lines: Lines) -> Lines {
     let mut ranked: Vec<(String, Vec<Point>)> = lines.into_iter().collect();
-    let trough = |points: &[Point]| {
+    let minimum = |points: &[Point]| {
         points.iter().map(|point| point.value).reduce(f64::min).unwrap_or(STATE_IN_SERVICE)
     };
-    ranked.sort_by(|(_, one), (_, other)| trough(one).total_cmp(&trough(other)));
+    ranked.sort_by(|(_, one), (_, other)| minimum(one).total_cmp(&minimum(other)));
     ranked.into_iter().take(MAX_LINES).collect()
 }
 
-/// Draws three charts; their names begin with the name of the file.
+/// Draws the three charts, as `STEM-limits.svg`, `STEM-worth.svg` and `STEM-states.svg` for the file name's
+/// stem.
 pub(super) fn draw(text: &str, file: &Path, out: &Path) -> anyhow::Result<()> {
     let StreamLines { limit_used, late_or_lost_weight, state } = StreamLines::parse(text)?;
     let stem = file.file_stem().map_or("stream".into(), |stem| stem.to_string_lossy());
     let draw_chart = |name: &str, caption: &str, lines: &Lines| {
         draw_lines(caption, lines, &out.join(format!("{stem}-{name}.svg")))
     };
-    draw_chart("limits", "share of the limit used", &highest(limit_used))?;
-    draw_chart("worth", "worth late and lost so far", &highest(late_or_lost_weight))?;
-    draw_chart("states", "state: 2 in service, 1 warming, 0 out", &lowest(state))
+    draw_chart("limits", "share of the limit used", &lines_with_highest_maxima(limit_used))?;
+    draw_chart(
+        "worth",
+        "priority weight late and lost so far",
+        &lines_with_highest_maxima(late_or_lost_weight),
+    )?;
+    draw_chart("states", "state: 2 in service, 1 recovering, 0 ejected", &lines_with_lowest_minima(state))
 }
 
 fn draw_lines(caption: &str, lines: &Lines, path: &Path) -> anyhow::Result<()> {
--- a/crates/testbed/src/cli/listen.rs
+++ b/crates/testbed/src/cli/listen.rs
@@ -51,7 +51,7 @@
     let addresses = ListenAddresses { graphite: args.graphite, collectd: args.collectd, users, require };
     let options = ListenOptions { addresses, record: args.record, seconds: args.seconds };
     match listen::run(options)? {
-        CounterCheck::NoneFell => Ok(Outcome::Passed),
-        CounterCheck::Fell => Ok(Outcome::Failed),
+        CounterCheck::Monotonic => Ok(Outcome::Passed),
+        CounterCheck::Decreased => Ok(Outcome::Failed),
     }
 }
--- a/crates/testbed/src/listen.rs
+++ b/crates/testbed/src/listen.rs
@@ -1,5 +1,5 @@
-//! Shows a stream of reports live in the terminal: which destinations are near their limit, where messages
-//! are late or lost, and which endpoints are ejected.
+//! Shows received metrics live in the terminal: how much of its limit each destination uses, how many of its
+//! messages are late or fail, and whether it is ejected.
 
 mod series;
 mod table;
@@ -15,36 +15,39 @@
 use std::time::{Duration, Instant};
 pub use table::table;
 
+/// Time between two updates of the table.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
+/// ANSI escape sequences that erase the screen and move the cursor to its top left corner.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// Where reports are received, and for how long.
+/// Where metrics are received, and for how long.
 #[derive(Debug)]
 pub struct ListenOptions {
     /// The addresses to listen on.
     pub addresses: ListenAddresses,
-    /// A file that each point is written to as a plaintext line, if any.
+    /// A file that each data point is written to as a line of Graphite plaintext, if any.
     pub record: Option<PathBuf>,
-    /// Stops after this many seconds, or on a signal if `None`.
+    /// Duration in seconds; if `None`, only a signal ends it.
     pub seconds: Option<f64>,
 }
 
-/// Whether a counter has decreased since the receiver was started.
+/// Whether a counter decreased or a timestamp went back since the receiver was started. Neither may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterCheck {
-    /// No counter decreased.
-    NoneFell,
-    /// At least one counter decreased.
-    Fell,
+    /// No counter decreased, and no timestamp went back.
+    Monotonic,
+    /// At least one did.
+    Decreased,
 }
 
-/// Receives reports and shows them until the time is up or a signal arrives.
+/// Receives metrics and prints their table every two seconds, until the time is up or SIGINT or SIGTERM
+/// arrives.
 ///
 /// # Errors
-/// Fails if no address is given, an address cannot be listened on, or the record cannot be created.
+/// Fails if no address is given, an address cannot be bound, or the file for the record cannot be created.
 pub fn run(options: ListenOptions) -> anyhow::Result<CounterCheck> {
     if options.addresses.graphite.is_none() && options.addresses.collectd.is_none() {
-        bail!("nothing to listen for; give --graphite ADDR, --collectd ADDR or both");
+        bail!("no address to listen on; give --graphite ADDR, --collectd ADDR or both");
     }
     let record = options.record.as_deref().map(create_record).transpose()?;
     let receiver = ReportReceiver::start(options.addresses, record)?;
@@ -89,7 +92,7 @@
     !events.is_empty()
 }
 
-/// Prints the table of what has been received so far.
+/// Prints the table of the metrics received so far, on a cleared screen if the output is a terminal.
 fn show(receiver: &ReportReceiver) -> anyhow::Result<CounterCheck> {
     let stream = receiver.stream();
     if std::io::stdout().is_terminal() {
@@ -97,5 +100,5 @@
     }
     println!("{}", table(&stream));
     std::io::stdout().flush()?;
-    Ok(if stream.regressions.is_empty() { CounterCheck::NoneFell } else { CounterCheck::Fell })
+    Ok(if stream.regressions.is_empty() { CounterCheck::Monotonic } else { CounterCheck::Decreased })
 }
--- a/crates/testbed/src/listen/series.rs
+++ b/crates/testbed/src/listen/series.rs
@@ -1,8 +1,8 @@
-//! Parses series names in the three forms that reports use.
+//! Parses the names of destinations' series in the three forms that reports use.
 
 use std::collections::BTreeMap;
 
-/// The name of a series of a whole destination, not of one of its classes or routes.
+/// The parts of the name of a series about a whole destination, not one of its classes or routes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DestinationSeries {
     pub(super) courier: String,
@@ -16,8 +16,9 @@
         DestinationSeries { courier: owned(courier), destination: owned(destination), field: owned(field) }
     }
 
-    /// Parses a Graphite path, a Graphite name with tags, or a collectd name. Returns `None` for any other
-    /// series.
+    /// Parses a Graphite path (`linnetcart.DEPLOYMENT.edge.COURIER.dest.DESTINATION.FIELD`), a Graphite name
+    /// with tags (`linnetcart.edge.FIELD;deployment=...;edge=COURIER;dest=DESTINATION`) or a collectd name
+    /// (`HOST-COURIER.linnetcart.dest-DESTINATION.FIELD`). Returns `None` for any other series.
     pub(super) fn parse(name: &str) -> Option<DestinationSeries> {
         match name.split_once(';') {
             Some((path, tags)) => DestinationSeries::parse_tagged(path, tags),
--- a/crates/testbed/src/listen/table.rs
+++ b/crates/testbed/src/listen/table.rs
@@ -1,4 +1,4 @@
-//! The table of destinations, the most urgent first.
+//! The table of destinations. Ejected ones come first, then those that use most of their limit.
 
 use super::series::DestinationSeries;
 use linnetcart_telemetry::stream::{ReceivedNotification, Stream};
@@ -8,20 +8,21 @@
 
 const MAX_ROWS: usize = 30;
 const MAX_NOTIFICATIONS: usize = 5;
-const MAX_FALLEN_COUNTS: usize = 5;
-/// Values of the field `state`.
+const MAX_REGRESSIONS: usize = 5;
+/// Values of the field `state`; 0 is ejected.
 const STATE_IN_SERVICE: f64 = 2.0;
-const STATE_WARMING_UP: f64 = 1.0;
+const STATE_RECOVERING: f64 = 1.0;
+/// The cell of a field that has not been received.
 const NO_VALUE: &str = "-";
 
-/// A destination as seen by one courier.
+/// A destination and the courier that reports on it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RowKey {
     courier: String,
     destination: String,
 }
 
-/// The last value of each field of a destination.
+/// The last value of each field that a courier has reported about a destination.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Row {
     values: BTreeMap<String, f64>,
@@ -36,19 +37,22 @@
         self.get("state").unwrap_or(STATE_IN_SERVICE)
     }
 
+    /// The used share of the limit: as the destination reports it, or else the courier's own attempts per
+    /// second divided by the limit.
     fn limit_used(&self) -> f64 {
         self.get("limit_used_share").or_else(|| self.get("limit_own_share")).unwrap_or(0.0)
     }
 
+    /// Priority weight late or lost, in thousandths.
     fn weight_late_or_lost(&self) -> f64 {
         let late = self.get("worth_late_milli").unwrap_or(0.0);
         let lost = self.get("worth_lost_milli").unwrap_or(0.0);
         late + lost
     }
 
-    /// Orders ejected destinations first, then by the used share of the limit, then by priority weight late
-    /// or lost.
-    fn urgency(&self, other: &Row) -> Ordering {
+    /// Orders rows by state, ejected ones first, then by descending used share of the limit, then by
+    /// descending priority weight late or lost.
+    fn cmp_urgency(&self, other: &Row) -> Ordering {
         let by_state = self.state().total_cmp(&other.state());
         let by_limit = other.limit_used().total_cmp(&self.limit_used());
         let by_weight = other.weight_late_or_lost().total_cmp(&self.weight_late_or_lost());
@@ -58,17 +62,19 @@
     fn state_text(&self) -> &'static str {
         match self.get("state") {
             Some(state) if state >= STATE_IN_SERVICE => "in",
-            Some(state) if state >= STATE_WARMING_UP => "warming",
+            Some(state) if state >= STATE_RECOVERING => "warming",
             Some(_) => "OUT",
             None => NO_VALUE,
         }
     }
 
+    /// A field rounded to an integer.
     fn integer_text(&self, field: &str) -> String {
         self.get(field).map_or(NO_VALUE.into(), |value| format!("{value:.0}"))
     }
 
-    /// The limit as text. An inferred limit is marked with `~`, since it is only the part of this courier.
+    /// The limit in calls per second: the one that the destination reports, or else the one that the courier
+    /// has inferred, marked with `~` since it is only this courier's part.
     fn limit_text(&self) -> String {
         if let Some(limit) = self.get("limit_told") {
             return format!("{limit:.0}");
@@ -87,12 +93,12 @@
     rows
 }
 
-/// Renders the most urgent destinations, totals of what was received, the last notifications, and counters
-/// that fell.
+/// Renders the rows of the first destinations by urgency, totals of the received metrics, the last
+/// notifications, and counters that decreased.
 pub fn table(stream: &Stream) -> String {
     let rows = rows(stream);
     let mut by_urgency: Vec<(&RowKey, &Row)> = rows.iter().collect();
-    by_urgency.sort_by(|(_, one), (_, other)| one.urgency(other));
+    by_urgency.sort_by(|(_, one), (_, other)| one.cmp_urgency(other));
     let mut text = String::new();
     write_heading(&mut text);
     for (key, row) in by_urgency.into_iter().take(MAX_ROWS) {
@@ -143,10 +149,11 @@
 }
 
 fn write_summary(text: &mut String, stream: &Stream) {
-    let last_error = stream.last_error.as_ref().map_or(String::new(), |error| format!(", the last: {error}"));
+    let last_error =
+        stream.last_error.as_ref().map_or(String::new(), |error| format!(", last error: {error}"));
     let _ = writeln!(
         text,
-        "{} series, {} points, {} bytes; {} could not be read{last_error}",
+        "{} series, {} points, {} bytes; {} could not be decoded{last_error}",
         stream.series.len(),
         stream.points,
         stream.bytes,
@@ -156,7 +163,7 @@
         let ReceivedNotification { subject, severity, text: message } = notification;
         let _ = writeln!(text, "notification ({severity}) {subject}: {message}");
     }
-    for fallen in stream.regressions.iter().take(MAX_FALLEN_COUNTS) {
-        let _ = writeln!(text, "A COUNT FELL: {fallen}");
+    for regression in stream.regressions.iter().take(MAX_REGRESSIONS) {
+        let _ = writeln!(text, "A COUNT FELL: {regression}");
     }
 }
--- a/crates/testbed/src/run_report.rs
+++ b/crates/testbed/src/run_report.rs
@@ -1,19 +1,19 @@
-//! Renders reports of the conformance checks as tables for the terminal and as JSON.
+//! Renders the reports of the conformance checks as tables for the terminal and as JSON.
 
 use linnetcart_conformance::{ClassSummary, InvariantResult, Report};
 use serde_json::{json, Value};
 use std::fmt::Write;
 
-/// The report of a run, and the policy that decided in it.
+/// The report of a run, and the decision policy of its couriers.
 #[derive(Debug)]
 pub struct PolicyReport {
-    /// The policy's name.
+    /// The name of the policy.
     pub policy: String,
-    /// The results of the checks.
+    /// The results of the conformance checks.
     pub report: Report,
 }
 
-/// A table of the outcomes of each class, and one of the rules.
+/// A table with the outcomes of each class, and one with the checked and broken cases of each rule.
 pub fn table(report: &Report) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -26,7 +26,8 @@
     }
     let _ = writeln!(
         text,
-        "served worth {:.3}, worst ten seconds {:.3}; {} calls reached endpoints, {} of them refused",
+        "served worth (delivered / requested priority weight) {:.3}, worst ten seconds {:.3}; \
+         {} calls reached endpoints, {} of them refused",
         report.service, report.worst_stretch, report.calls, report.rejected_calls
     );
     let _ = writeln!(text, "\n{:<54}{:>10}{:>8}", "rule", "checked", "broken");
@@ -36,6 +37,7 @@
     text
 }
 
+/// Writes the row of a class. Its last cell is delivered / requested priority weight in percent.
 fn write_class(text: &mut String, class: &ClassSummary) {
     let _ = writeln!(
         text,
@@ -53,6 +55,7 @@
     );
 }
 
+/// Writes the row of a rule, and below it examples of its broken cases.
 fn write_invariant(text: &mut String, invariant: &InvariantResult) {
     let _ = writeln!(text, "{:<54}{:>10}{:>8}", invariant.rule, invariant.checked, invariant.violations);
     for example in &invariant.examples {
@@ -60,7 +63,7 @@
     }
 }
 
-/// A table with a row for each policy.
+/// A table with a row for each policy, to compare runs of the same scenario and seed.
 pub fn comparison(reports: &[PolicyReport]) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -79,7 +82,7 @@
     text
 }
 
-/// The numbers of the broken rules, or `none`. The name of a rule begins with its number.
+/// The numbers of the broken rules, or `none`. The title of a rule begins with its number.
 fn broken_rules(report: &Report) -> String {
     let broken = report.rules.iter().filter(|invariant| invariant.violations > 0);
     let numbers: Vec<&str> = broken.map(|invariant| invariant.rule.split(' ').next().unwrap_or("")).collect();
@@ -89,7 +92,7 @@
     numbers.join(" ")
 }
 
-/// Reports of several policies as JSON.
+/// The reports of several policies on the same scenario and seed as JSON.
 pub fn json(scenario: &str, seed: u64, reports: &[PolicyReport]) -> Value {
     let mut runs = Vec::new();
     for PolicyReport { policy, report } in reports {
