--- a/crates/testbed/src/cli/fault_search.rs
+++ b/crates/testbed/src/cli/fault_search.rs
@@ -99,7 +99,7 @@
 
 fn print_nothing_found(args: &Args) {
     match &args.shrink {
-        Some(file) => println!("{} breaks no rule", file.display()),
+        Some(file) => println!("{}: no broken rule or loss to minimize", file.display()),
         None => println!("nothing found in {} runs", args.runs),
     }
 }
