--- a/crates/testbed/src/fault_search/shrink.rs
+++ b/crates/testbed/src/fault_search/shrink.rs
@@ -1,4 +1,4 @@
-//! Shrinks a scenario step by step, as long as it still shows the problem that was found.
+//! Shrinks a scenario greedily, one step at a time, as long as it still shows the problem that was found.
 
 use super::{FaultSearch, Severity};
 use crate::emulated_run::Recipe;
@@ -9,14 +9,14 @@
 
 /// Faults that last longer than this, in seconds, are tried at half their duration.
 const MIN_HALVED_SECONDS: f64 = 0.3;
-/// Fractions of a unit that figures of faults are rounded to.
+/// Steps per unit that the figures of faults are rounded to.
 const TENTHS: f64 = 10.0;
 const HUNDREDTHS: f64 = 100.0;
 
 /// The result of shrinking.
 pub(super) struct Shrunk {
     pub(super) recipe: Recipe,
-    /// Number of runs that it took.
+    /// Number of runs that shrinking took.
     pub(super) runs: u64,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Recipes that are one step smaller, the largest steps first.
+/// Returns the recipes that are one step smaller, the largest steps first.
 fn smaller_recipes(from: &Recipe) -> Vec<Recipe> {
     let mut steps = Steps { from, smaller: Vec::new() };
     for index in 0..from.scenario.faults.len() {
@@ -84,10 +84,12 @@
     steps.smaller
 }
 
+/// Adds steps to a shorter scenario, less traffic, and fewer couriers, destinations and kinds of destination.
 fn add_smaller_fleets(steps: &mut Steps) {
     let scenario = &steps.from.scenario;
     let kinds = scenario.kind.len();
     let fault_ends = scenario.faults.iter().map(|fault| fault.at + fault.lasts);
+    // The scenario ends one second and a fifth of its time after its last fault.
     let last_fault_end = fault_ends.fold(2.0, f64::max);
     let enough_seconds = (last_fault_end * 1.2 + 1.0).ceil();
     steps.add(|scenario| scenario.seconds = scenario.seconds.min(enough_seconds));
@@ -107,6 +109,7 @@
     }
 }
 
+/// Adds steps to a fault that is shorter, has rounder figures or is not of the harder form.
 fn add_simpler_faults(steps: &mut Steps, index: usize) {
     if steps.from.scenario.faults[index].lasts > MIN_HALVED_SECONDS {
         steps.add_fault_change(index, |fault| fault.lasts = round_to(fault.lasts / 2.0, TENTHS));
@@ -117,6 +120,7 @@
     steps.add_fault_change(index, |fault| fault.hard = false);
 }
 
-fn round_to(value: f64, fractions: f64) -> f64 {
-    (value * fractions).round() / fractions
+/// Rounds to a multiple of `1 / steps_per_unit`.
+fn round_to(value: f64, steps_per_unit: f64) -> f64 {
+    (value * steps_per_unit).round() / steps_per_unit
 }
