--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -1,7 +1,8 @@
-//! The control interface of the Kafka front: settings, endpoint list, telemetry and status as documents over
-//! HTTP. It does no I/O.
+//! The control interface of the Kafka front: settings, endpoint list, telemetry and status as JSON documents
+//! over HTTP. It does no I/O: the shell moves the bytes and writes the snapshot.
 //!
-//! A document is saved in the snapshot before it comes into force. If it cannot be saved, nothing changes.
+//! A document is saved in the snapshot before it takes effect (write-ahead). If it cannot be saved, nothing
+//! changes.
 
 mod http;
 
@@ -13,35 +14,36 @@
 use linnetcart_telemetry::settings::Telemetry;
 use serde_json::json;
 
-/// A function that writes a snapshot.
+/// Writes a snapshot to the state directory.
 pub type SaveSnapshot<'a> = &'a mut dyn FnMut(&Snapshot) -> Result<(), SnapshotError>;
 
-/// The program that the control interface acts on: the courier, once it has settings, and what the snapshot
-/// contains.
+/// The state that the control interface reads and changes: the courier, once it has settings, and the content
+/// of the snapshot.
 #[derive(Debug)]
 pub struct Program {
-    /// The courier, or `None` as long as there are no settings.
+    /// The courier, or `None` until settings are put or restored.
     pub core: Option<Core>,
-    /// What the courier is started with when it gets its settings.
-    pub start: StartOptions,
-    /// Settings that come into force at the next start.
+    /// Options of the courier, which is created when the first settings arrive.
+    pub start_options: StartOptions,
+    /// Saved settings that take effect at the next start, if they differ from those in force.
     pub next_settings: Option<Settings>,
-    /// The settings of telemetry. Nothing is counted without them.
+    /// The settings of telemetry. Without them nothing is counted or reported.
     pub telemetry: Option<Telemetry>,
-    /// Whether there is a state directory, in which counters survive a restart.
+    /// Whether there is a state directory, in which counters survive a restart. Reports to Graphite and
+    /// collectd require it.
     pub has_state_dir: bool,
-    /// What is wrong with the saved files, or `None`.
+    /// Why files of the state directory could not be restored, for the status page; `None` if all could.
     pub state_error: Option<String>,
-    /// Figures of the process for the status page.
+    /// Figures of the process for the status page, such as its uptime, by their JSON keys.
     pub process_status: serde_json::Map<String, serde_json::Value>,
 }
 
 impl Program {
     /// Creates a program without settings.
-    pub fn new(start: StartOptions) -> Program {
+    pub fn new(start_options: StartOptions) -> Program {
         Program {
             core: None,
-            start,
+            start_options,
             next_settings: None,
             telemetry: None,
             has_state_dir: false,
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Restores the content of a snapshot. Settings or a list that cannot be used are left out and reported
-    /// in `state_error`.
+    /// Restores the content of a snapshot. Invalid settings or an invalid list are skipped and reported in
+    /// `state_error`.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.telemetry = snapshot.telemetry;
         let Some(settings) = snapshot.settings else { return };
@@ -59,14 +61,14 @@
             self.state_error = Some(format!("the saved settings are not used: {error}"));
             return;
         }
-        let mut core = Core::new(settings, self.start.clone());
+        let mut core = Core::new(settings, self.start_options.clone());
         if let Err(error) = core.restore(snapshot.list) {
             self.state_error = Some(format!("the saved list is not used: {error}"));
         }
         self.core = Some(core);
     }
 
-    /// Returns the snapshot of the current state.
+    /// Returns a snapshot of the current state, with the settings of the next start.
     fn snapshot(&self) -> Snapshot {
         let core = self.core.as_ref();
         Snapshot {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Handles a request. `save` writes a snapshot; if that fails, nothing changes.
+    /// Handles a request. A change is passed to `save` first; if that fails, nothing changes.
     pub fn handle(&mut self, request: &Request, save: SaveSnapshot<'_>) -> Reply {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/status") => self.get_status(),
@@ -138,14 +140,15 @@
         }
         match &self.core {
             None => {
-                self.core = Some(Core::new(settings, self.start.clone()));
+                self.core = Some(Core::new(settings, self.start_options.clone()));
                 Reply::json(200, json!({"in_force": "now"}))
             }
             Some(core) if *core.settings() == settings => {
                 self.next_settings = None;
                 Reply::json(200, json!({"in_force": "now"}))
             }
-            // What the courier has learned of Retry-After times and outages is valid for its settings only.
+            // The Retry-After times and health states that the courier has learned are valid for its present
+            // settings only, so other settings wait for a restart.
             Some(_) => {
                 self.next_settings = Some(settings);
                 Reply::json(202, json!({"in_force": "next start"}))
@@ -156,11 +159,11 @@
     fn put_list(&mut self, body: &[u8], save: SaveSnapshot<'_>) -> Reply {
         let mut snapshot = self.snapshot();
         let Some(core) = &mut self.core else { return no_settings() };
-        let update: EndpointListUpdate = match crate::settings::read(body) {
+        let update: EndpointListUpdate = match crate::settings::parse_document(body) {
             Ok(update) => update,
             Err(error) => return invalid_document(&error),
         };
-        match core.list().after(&update, core.settings()) {
+        match core.list().with_update(&update, core.settings()) {
             Ok(updated) => snapshot.list = updated.list,
             Err(error) => return invalid_document(&error),
         }
@@ -174,11 +177,11 @@
     }
 
     fn put_telemetry(&mut self, body: &[u8], save: SaveSnapshot<'_>) -> Reply {
-        let mut telemetry: Telemetry = match crate::settings::read(body) {
+        let mut telemetry: Telemetry = match crate::settings::parse_document(body) {
             Ok(telemetry) => telemetry,
             Err(error) => return invalid_document(&error),
         };
-        // GET leaves the keys out, so a document without them means the keys in force.
+        // GET redacts the keys, so a document without keys means those in force.
         telemetry.restore_hidden_keys(self.telemetry.as_ref());
         if let Err(error) = telemetry.check() {
             let field = error.field().to_owned();
@@ -197,14 +200,17 @@
     }
 }
 
+/// Returns the reply to an invalid document.
 fn invalid_document(error: &InvalidDocument) -> Reply {
     Reply::json(422, json!({"error": error}))
 }
 
+/// Returns the reply to a change that could not be saved.
 fn not_saved(error: &SnapshotError) -> Reply {
     Reply::error(500, "snapshot", format!("nothing was changed: {error}"))
 }
 
+/// Returns the reply to a request that requires settings, before there are any.
 fn no_settings() -> Reply {
     Reply::error(409, "settings", "there are none yet; PUT /settings first")
 }
--- a/crates/edge/src/control/http.rs
+++ b/crates/edge/src/control/http.rs
@@ -1,67 +1,69 @@
-//! The HTTP/1.1 framing of the control interface. It parses requests from bytes and encodes replies, without
-//! I/O.
+//! HTTP/1.1 framing of the control interface: parses requests from received bytes and encodes replies,
+//! without I/O.
 
 use linnetcart_http::reason_phrase;
 use serde::Serialize;
 use serde_json::json;
 
-/// The greatest length of a request's head in bytes.
+/// Maximum length of a request's head in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The greatest length of a request's body in bytes. The longest endpoint list fits.
+/// Maximum length of a request's body in bytes. The largest endpoint list fits.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// The greatest number of header fields in a request.
+/// Maximum number of header fields in a request.
 const MAX_FIELDS: usize = 64;
 
-/// The response to a client that waits for it before it sends the body.
+/// The interim response to a client that sent `Expect: 100-continue` and waits before it sends the body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method, such as `GET` or `PUT`.
+    /// Method, such as `GET` or `PUT`.
     pub method: String,
-    /// The path without its query.
+    /// Path without the query string.
     pub path: String,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
-    /// Whether the connection is closed after the reply.
+    /// Whether the connection is closed after the reply, as the client requested.
     pub connection: ConnectionHeader,
 }
 
-/// The next input of a connection.
+/// What the received bytes of a connection amount to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HttpInput {
     /// More bytes are needed.
     Incomplete,
-    /// The client waits for [`CONTINUE`] before it sends the body.
+    /// The client waits for [`CONTINUE`] before it sends the body. Reported once per request.
     ExpectsContinue,
     /// A complete request.
     Request(Request),
-    /// The bytes are not a valid request. This reply is to be sent and the connection closed.
+    /// The bytes are not a valid request. The caller sends this reply and closes the connection.
     Invalid(Reply),
 }
 
-/// A reply.
+/// A reply with a JSON body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The body in JSON.
+    /// Body, in JSON.
     pub body: String,
 }
 
 impl Reply {
+    /// Creates a reply whose body is this value in JSON.
     pub(super) fn json(status: u16, body: impl Serialize) -> Reply {
         let json = serde_json::to_string_pretty(&body);
         let body = json.unwrap_or_else(|error| format!("{{\"error\": \"{error}\"}}"));
         Reply { status, body: body + "\n" }
     }
 
+    /// Creates a reply that names the field or part of the request at fault.
     pub(super) fn error(status: u16, field: &str, reason: impl Into<String>) -> Reply {
         Reply::json(status, json!({"error": {"field": field, "reason": reason.into()}}))
     }
 
-    /// Encodes the reply with this `Connection` header.
+    /// Encodes the head and the body, with this `Connection` header.
     pub fn encode(&self, connection: ConnectionHeader) -> Vec<u8> {
         let status = self.status;
         let reason = reason_phrase(status);
@@ -75,12 +77,12 @@
     }
 }
 
-/// The `Connection` header of a reply: whether the connection is closed after it.
+/// The `Connection` header of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionHeader {
-    /// The connection is closed.
+    /// The connection is closed after the reply.
     Close,
-    /// The connection takes further requests.
+    /// The connection stays open for further requests.
     KeepAlive,
 }
 
@@ -93,11 +95,12 @@
     }
 }
 
-/// The received bytes of one HTTP connection.
+/// The receive buffer of one HTTP connection.
 #[derive(Debug, Default)]
 pub struct HttpConnection {
     buffer: Vec<u8>,
-    continue_sent: bool,
+    /// Whether [`HttpInput::ExpectsContinue`] was reported for the request in the buffer.
+    continue_reported: bool,
 }
 
 impl HttpConnection {
@@ -106,7 +109,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next input. Callers repeat this until it is [`HttpInput::Incomplete`] or
+    /// Removes and returns the next input. Callers repeat this until it is [`HttpInput::Incomplete`] or
     /// [`HttpInput::Invalid`].
     pub fn next_input(&mut self) -> HttpInput {
         let head = match parse_head(&self.buffer) {
@@ -116,8 +119,8 @@
         };
         let request_bytes = head.bytes + head.body_bytes;
         if self.buffer.len() < request_bytes {
-            if head.expects_continue && !self.continue_sent {
-                self.continue_sent = true;
+            if head.expects_continue && !self.continue_reported {
+                self.continue_reported = true;
                 return HttpInput::ExpectsContinue;
             }
             return HttpInput::Incomplete;
@@ -125,10 +128,10 @@
         let body = self.buffer[head.bytes..request_bytes].to_vec();
         self.buffer.drain(..request_bytes);
         if self.buffer.is_empty() {
-            // An idle connection must not retain the capacity of its largest body.
+            // Frees the buffer, so that an idle connection does not retain the capacity of its largest body.
             self.buffer = Vec::new();
         }
-        self.continue_sent = false;
+        self.continue_reported = false;
         HttpInput::Request(Request {
             method: head.method,
             path: head.path,
@@ -138,18 +141,20 @@
     }
 }
 
-/// The head of a request.
+/// The head of a request: its request line and header fields.
 struct Head {
+    /// Length of the head itself, in bytes.
     bytes: usize,
     method: String,
     path: String,
     body_bytes: usize,
+    /// Whether the client waits for [`CONTINUE`].
     expects_continue: bool,
     connection: ConnectionHeader,
 }
 
-/// Parses the head of the request in the buffer. Returns `None` if it is incomplete, and a reply if it is
-/// invalid.
+/// Parses the head of the request at the start of the buffer. Returns `None` if it is incomplete, and the
+/// error reply if it is invalid.
 fn parse_head(buffer: &[u8]) -> Result<Option<Head>, Reply> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
@@ -177,7 +182,8 @@
     }))
 }
 
-/// Returns the length of the body in bytes, or a reply if it is invalid or too long.
+/// Returns the length of the body in bytes; 0 without a `Content-Length`. Returns the error reply if the
+/// header is invalid or the body too long.
 fn body_length(request: &httparse::Request<'_, '_>) -> Result<usize, Reply> {
     let Some(text) = lowercase_field(request, "content-length") else { return Ok(0) };
     match text.parse::<usize>() {
@@ -190,12 +196,13 @@
     }
 }
 
-/// Returns the value of a header field, or `None` if the request does not have it.
+/// Returns the value of the first header field of this name, ignoring case.
 fn field<'a>(request: &httparse::Request<'_, 'a>, name: &str) -> Option<&'a [u8]> {
     let header = request.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
     header.map(|header| header.value)
 }
 
+/// Returns the value of a header field, trimmed and in lower case.
 fn lowercase_field(request: &httparse::Request<'_, '_>, name: &str) -> Option<String> {
     field(request, name).map(|value| String::from_utf8_lossy(value).trim().to_ascii_lowercase())
 }
--- a/crates/edge/src/control/tests.rs
+++ b/crates/edge/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! Requests to the control interface, and their framing.
+//! Requests to the control interface, and their HTTP framing.
 
 use super::http::MAX_HEAD_BYTES;
 use super::*;
@@ -17,7 +17,7 @@
     })
 }
 
-/// Whether a snapshot can be written.
+/// Whether the snapshot can be written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disk {
     Writable,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn requests_in_any_order_change_all_or_nothing_and_errors_name_field_and_next_step() {
+fn requests_apply_completely_or_not_at_all_and_errors_name_field_and_remedy() {
     let mut program = program();
     let settings = crate::settings::tests::sample();
     let list = json!({"version": 1, "whole": true, "entries": [
@@ -97,16 +97,16 @@
 
 proptest! {
     #[test]
-    fn http_requests_cut_anywhere_are_read(
+    fn http_requests_received_in_pieces_are_parsed(
         body in prop::collection::vec(any::<u8>(), 0..60),
-        cut in 1usize..9,
+        piece_bytes in 1usize..9,
     ) {
         let head = format!("PUT /list?x=1 HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len());
         let encoded = [head.into_bytes(), body.clone()].concat();
         let twice = [encoded.clone(), encoded].concat();
         let mut http = HttpConnection::default();
         let mut requests = Vec::new();
-        for piece in twice.chunks(cut) {
+        for piece in twice.chunks(piece_bytes) {
             http.push(piece);
             while let HttpInput::Request(request) = http.next_input() {
                 requests.push((request.path, request.body));
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -187,7 +187,7 @@
 
     /// Applies an update of the endpoint list. Nothing changes if it is invalid.
     pub fn update_endpoints(&mut self, update: &EndpointListUpdate) -> Result<(), InvalidDocument> {
-        let updated = self.list().after(update, &self.settings)?;
+        let updated = self.list().with_update(update, &self.settings)?;
         let entries = updated.library_entries;
         self.decisions.push(Event::EndpointList { complete: update.complete, entries });
         self.replace_list(updated.list);
--- a/crates/edge/src/settings/documents.rs
+++ b/crates/edge/src/settings/documents.rs
@@ -1,7 +1,7 @@
-//! The settings document as operators write it.
+//! The settings document of `PUT /settings`, in the form in which operators write it.
 //!
-//! Error texts of the control interface contain the names of these types ("expected struct ClassDoc with 7
-//! elements"). The types keep their names for that reason, also where the code has another term.
+//! Error texts of the control interface contain the Rust names of these types ("expected struct ClassDoc with
+//! 7 elements"), so renaming a type would change texts that operators know.
 
 mod classes;
 mod limits;
@@ -15,46 +15,46 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The settings of a courier.
+/// The complete settings document of a courier.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of the deployment, for logs and metrics.
+    /// Name of the deployment, which is part of the names of its metrics.
     pub deployment: String,
-    /// This courier among those of the deployment.
+    /// Number, count and zone: the position of this courier among those of the deployment.
     pub courier: CourierNumber,
-    /// The names of the zones.
+    /// Names of the zones; the position of a name is the number of its zone.
     pub zones: Vec<String>,
-    /// The classes of messages. Each is a topic.
+    /// Classes of messages. Each class is a Kafka topic.
     pub classes: Vec<ClassDoc>,
-    /// The kinds of destinations.
+    /// Kinds of destinations. Each entry of the endpoint list names one.
     pub kinds: Vec<KindDoc>,
-    /// The tenants. There may be none.
+    /// Tenants with a quota.
     #[serde(default)]
     pub tenants: Vec<TenantDoc>,
-    /// The limits of the courier.
+    /// Capacity limits of this courier.
     pub limits: Limits,
-    /// What the courier is permitted to do.
+    /// Optional mechanisms of delivery, such as hedging, and whether the courier may use them.
     #[serde(default, rename = "allow")]
     pub permissions: Allow,
-    /// Connections to endpoints.
+    /// Use of connections to endpoints.
     #[serde(default)]
     pub connections: Connections,
-    /// Clocks of clients.
+    /// How far clocks of clients are trusted.
     #[serde(default)]
     pub clocks: ClocksDoc,
-    /// The parameters of the delivery rules.
+    /// Parameters of ordering, slow start and overload.
     pub rules: Rules,
-    /// How accurate the rates in the endpoint list are.
+    /// Accuracy of the rates in the endpoint list.
     #[serde(default)]
     pub rates: RatesDoc,
-    /// How the priority weight of a message decreases.
+    /// How the priority weight of a message decreases with its age.
     #[serde(default, rename = "worth")]
     pub weights: Worth,
-    /// Prices, as fractions of a message's priority weight.
+    /// Prices of resources, as fractions of a message's priority weight.
     #[serde(default)]
     pub prices: Prices,
-    /// The shortest time between two decision cycles, in microseconds.
+    /// Minimum interval between two decision cycles, in microseconds.
     #[serde(default = "default_tick_us")]
     pub tick_us: u64,
 }
@@ -63,16 +63,16 @@
     1000
 }
 
-/// The number and the zone of this courier.
+/// The position of this courier among those that send to the same destinations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CourierNumber {
-    /// Its number, from 0.
+    /// Number of this courier, from 0 to `count - 1`.
     #[serde(rename = "me")]
     pub index: u32,
-    /// How many couriers send to the same destinations, including this one.
+    /// Number of couriers that send to the same destinations, including this one.
     #[serde(rename = "of")]
     pub count: u32,
-    /// The name of its zone.
+    /// Name of the zone that this courier is in.
     pub zone: String,
 }
--- a/crates/edge/src/settings/documents/limits.rs
+++ b/crates/edge/src/settings/documents/limits.rs
@@ -1,33 +1,35 @@
-//! The limits of a courier, its permissions, and what it assumes of connections and clocks.
+//! Limits and permissions of a courier, and its settings for connections and clocks.
 
 use serde::{Deserialize, Serialize};
 
-/// The limits of a courier. At a limit, messages are rejected or connections are not read. Nothing is lost.
+/// Capacity limits of a courier. At a limit it sheds messages, which clients may retry, or stops reading from
+/// a connection (backpressure). No accepted message is lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Calls out at once.
+    /// Maximum number of calls in flight at once: the slots of this courier.
     #[serde(rename = "slots")]
     pub max_calls: u32,
-    /// Messages in flight, sent or not. Messages beyond the limit are shed.
+    /// Maximum number of messages in flight, sent or not. Messages beyond it are shed.
     #[serde(rename = "held")]
     pub max_in_flight: u32,
-    /// Bytes of the messages in flight. Messages beyond the limit are shed.
+    /// Maximum size of the messages in flight, in bytes. Messages beyond it are shed.
     #[serde(default = "default_in_flight_bytes", rename = "held_bytes")]
     pub max_in_flight_bytes: usize,
-    /// Attempts for a message.
+    /// Maximum number of attempts per message.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Bytes of one request. A longer request closes its connection.
+    /// Maximum size of one request, in bytes. The connection of a longer request is closed.
     #[serde(default = "default_request_bytes", rename = "request_bytes")]
     pub max_request_bytes: usize,
-    /// Requests of one connection without a response. At the limit the connection is not read.
+    /// Maximum number of pipelined requests per client connection. At the limit the connection is not read.
     #[serde(default = "default_pipelined", rename = "pipelined")]
     pub max_pipelined: usize,
-    /// Bytes of responses that a client has not read. At the limit the connection is not read.
+    /// Maximum size of responses that wait to be written to a client, in bytes. At the limit its connection
+    /// is not read.
     #[serde(default = "default_unsent_bytes", rename = "unsent_bytes")]
     pub max_unsent_bytes: usize,
-    /// The highest destination number plus one. A destination number is also a partition number.
+    /// Upper bound (exclusive) of destination numbers, which are also the partition numbers of every topic.
     #[serde(default = "default_destinations")]
     pub destinations: u32,
 }
@@ -52,14 +54,14 @@
     10_000
 }
 
-/// What a courier is permitted to do.
+/// Optional mechanisms of delivery, and whether the courier may use them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Allow {
-    /// Whether it may cancel an attempt that is out.
+    /// Whether it may cancel an attempt in flight.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
-    /// Whether it may have two attempts of a message out at once.
+    /// Whether a message may have two attempts in flight at once (hedged requests).
     #[serde(rename = "copies")]
     pub hedging: bool,
     /// Health checks of endpoints. This program does not support them, so the value must be `false`.
@@ -72,7 +74,7 @@
     /// `false`.
     #[serde(rename = "list_asked")]
     pub list_polled: bool,
-    /// The longest Retry-After that clients respect, 0 if they respect none.
+    /// Longest Retry-After that clients respect, in milliseconds; 0 if they respect none.
     #[serde(rename = "come_back_ms")]
     pub max_retry_after_ms: u64,
 }
@@ -90,17 +92,17 @@
     }
 }
 
-/// Connections to endpoints.
+/// Use of connections to endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// How many calls one connection carries at once.
+    /// Maximum number of concurrent calls on one connection.
     #[serde(rename = "calls")]
     pub max_calls: u32,
-    /// After how long an idle connection is closed.
+    /// Idle time after which a connection is closed, in milliseconds.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: u64,
-    /// After how long a connection that is not ready has failed.
+    /// Time within which a connection must be established, in milliseconds. Otherwise it has failed.
     pub connect_timeout_ms: u64,
 }
 
@@ -110,15 +112,15 @@
     }
 }
 
-/// Clocks of clients, which determine how old a message is when it arrives.
+/// How far clocks of clients are trusted. They determine the age of a message when it arrives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClocksDoc {
-    /// The greatest difference between a client's clock and the courier's, in either direction.
+    /// Maximum clock skew between a client and this courier, in either direction, in milliseconds.
     #[serde(rename = "apart_ms")]
     pub max_skew_ms: u64,
-    /// Whether the timestamp of a record is the time at which it was submitted, as producers set it by
-    /// default.
+    /// Whether the timestamp of a record is its submission time, as Kafka producers set it by default
+    /// (`CreateTime`).
     #[serde(rename = "record_time")]
     pub timestamps_are_creation_times: bool,
 }
--- a/crates/edge/src/settings/documents/rules.rs
+++ b/crates/edge/src/settings/documents/rules.rs
@@ -1,42 +1,46 @@
-//! The parameters of the delivery rules, and the accuracy of the rates in the endpoint list.
+//! Parameters of ordering, slow start and overload, and the accuracy of the rates in the endpoint list.
 
 use serde::{Deserialize, Serialize};
 
-/// The parameters of the delivery rules.
+/// Parameters of ordering, slow start and overload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// How long after its deadline a final answer may arrive.
+    /// Grace period after the deadline of a message in which its final answer still counts as in time, in
+    /// milliseconds.
     #[serde(rename = "answer_slack_ms")]
     pub answer_grace_ms: u64,
-    /// The fraction of its capacity that a destination has when it comes back from an outage.
+    /// Capacity of a destination right after an outage, as a fraction of its full capacity. It grows linearly
+    /// to 1 within `slow_start_ms`.
     #[serde(rename = "cold_share")]
     pub slow_start_ratio: f64,
-    /// How long after an outage a destination has its full capacity again.
+    /// Time after an outage until a destination has its full capacity again, in milliseconds.
     #[serde(rename = "warm_after_ms")]
     pub slow_start_ms: u64,
-    /// The multiple of its capacity above which a destination fails.
+    /// Multiple of its present capacity above which the call rate makes a destination fail again after an
+    /// outage.
     #[serde(rename = "fall_multiple")]
     pub overload_ratio: f64,
-    /// How long such an overload must last for the destination to fail.
+    /// How long such an overload must last to make the destination fail, in milliseconds.
     #[serde(rename = "fall_span_ms")]
     pub overload_window_ms: u64,
-    /// The cooldown of a key after an attempt that may still be executed.
+    /// Cooldown of an ordering key after an attempt that may still be executed, in milliseconds: the next
+    /// message of the key is held back for that time.
     #[serde(default, rename = "key_rest_ms")]
     pub key_cooldown_ms: u64,
 }
 
-/// How accurate the rates in the endpoint list are.
+/// Accuracy of the rates in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RatesDoc {
-    /// They have no meaning.
+    /// The rates are ignored.
     #[default]
     #[serde(rename = "untold")]
     Unspecified,
-    /// Calls a second from all couriers, accurate to within a half.
+    /// A rate is the limit in calls per second for all couriers together, accurate to within 50 %.
     #[serde(rename = "rough")]
     Approximate,
-    /// Calls a second from all couriers.
+    /// A rate is the exact limit in calls per second for all couriers together.
     #[serde(rename = "exact")]
     Exact,
 }
--- a/crates/edge/src/settings/documents/weights.rs
+++ b/crates/edge/src/settings/documents/weights.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How the priority weight of a message decreases.
+/// How the priority weight of a message decreases with its age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Worth {
-    /// Whether the weight halves with each further latency objective. Otherwise it decreases linearly from
-    /// the objective to the deadline.
+    /// Whether the weight halves with each further latency objective (exponential decay, down to the late
+    /// weight of the class). Otherwise it decreases linearly from the objective to the deadline.
     pub halves: bool,
-    /// The weight of a message beyond its tenant's quota, as a fraction of the usual weight.
+    /// Weight of a message above its tenant's quota, as a fraction of its usual weight, 0 to 1.
     #[serde(rename = "over_share")]
     pub over_quota: f64,
 }
@@ -20,23 +20,23 @@
     }
 }
 
-/// Prices, as fractions of a message's priority weight.
+/// Prices of resources, as fractions of a message's priority weight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// The price of a new connection.
+    /// Price of a new connection.
     pub connection: f64,
-    /// The price of a call to another zone.
+    /// Price of a call to another zone.
     #[serde(rename = "crossing")]
     pub cross_zone: f64,
-    /// The price of work that served no message.
+    /// Price of calls to endpoints that did not serve the message.
     #[serde(rename = "waste")]
     pub wasted_work: f64,
-    /// The price of weight that is not served within its objective.
+    /// Price of each unit of weight that a message loses after its latency objective.
     pub late: f64,
-    /// The price of a call that is rejected above a limit.
+    /// Price of a call that is rejected above a limit.
     #[serde(rename = "refused")]
     pub rejected_call: f64,
-    /// The price of a message that an independent route accepts, by its zone.
+    /// Price of a message that an independent route accepts; the index is the number of the route's zone.
     pub route_fees: Vec<f64>,
 }
--- a/crates/edge/src/settings/endpoint_list.rs
+++ b/crates/edge/src/settings/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: the document, its updates, and its entries as the decision library takes them.
+//! The endpoint list: its update document (`PUT /list`), its validation, and its conversion for the decision
+//! library.
 
 use super::documents::Settings;
 use super::error::reject;
@@ -9,81 +10,83 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// An endpoint list after an update.
+/// The result of applying an update to an endpoint list.
 #[derive(Clone, Debug)]
 pub struct UpdatedList {
     /// The new list.
     pub list: EndpointList,
-    /// The entries of the update, as the decision library takes them.
+    /// The entries of the update, converted for the decision library.
     pub library_entries: Vec<Endpoint>,
 }
 
-/// The greatest number of endpoints in a list.
+/// Maximum number of endpoints in a list.
 pub const MAX_ENDPOINTS: usize = 100_000;
-/// The highest rate of an endpoint.
+/// Maximum rate of an endpoint, in calls per second.
 const MAX_RATE: f64 = 1e9;
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListUpdate {
-    /// The version of the list after the update. It must be greater than that of the list in force.
+    /// Version of the list after the update. It must be greater than that of the list in force.
     pub version: u64,
-    /// Whether the entries are the complete list. Otherwise they are changes to the list in force.
+    /// Whether the entries replace the list in force. Otherwise they are changes to it.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// The entries, or the changed ones.
+    /// All entries of the new list, or only the changed ones.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// An endpoint of the list.
+/// An endpoint in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointEntry {
-    /// Its number, which is never reused for another endpoint.
+    /// Number of the endpoint, which is never reused for another endpoint.
     pub id: u32,
-    /// The number of its destination.
+    /// Number of its destination.
     pub destination: u32,
-    /// The name of the destination's kind.
+    /// Name of the kind of its destination, as in the settings.
     pub kind: String,
-    /// The name of its zone.
+    /// Name of its zone, as in the settings.
     pub zone: String,
-    /// Its rate in calls a second, 0 if it is not known. The setting `rates` states how accurate it is.
+    /// Its limit in calls per second; 0 if it is not known. The setting `rates` states how accurate it is.
     #[serde(default)]
     pub rate: f64,
-    /// Its state.
+    /// Whether it is in service.
     pub state: EntryState,
-    /// Where it listens.
+    /// Address at which it accepts calls.
     pub address: SocketAddr,
 }
 
-/// The state of an endpoint in the list. It is independent of the endpoint's health.
+/// The state of an endpoint in the list. It is set by the list's publisher and independent of the health that
+/// the decision library observes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryState {
-    /// In service.
+    /// The endpoint is in service.
     #[serde(rename = "ready")]
     Ready,
-    /// It accepts no new messages.
+    /// The endpoint is in graceful shutdown: it finishes the calls in flight and accepts no new ones.
     #[serde(rename = "draining")]
     Draining,
-    /// It is no longer in the list.
+    /// The endpoint has left the list.
     #[serde(rename = "gone")]
     Removed,
 }
 
-/// An endpoint list.
+/// An endpoint list, which is also part of the snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the last update that was applied; 0 before the first.
     pub version: u64,
-    /// The entries by endpoint number. None of them is [`EntryState::Removed`].
+    /// The entries by endpoint number. None has the state [`EntryState::Removed`].
     pub entries: BTreeMap<u32, EndpointEntry>,
 }
 
 impl EndpointList {
-    /// Returns the list after an update.
-    pub fn after(
+    /// Validates an update against the settings and this list, and returns the list after it. This list does
+    /// not change.
+    pub fn with_update(
         &self,
         update: &EndpointListUpdate,
         settings: &Settings,
@@ -114,6 +117,7 @@
         Ok(UpdatedList { list: next, library_entries })
     }
 
+    /// Inserts, replaces or removes one entry.
     fn apply(&mut self, entry: &EndpointEntry) {
         if entry.state == EntryState::Removed {
             self.entries.remove(&entry.id);
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Returns all entries as the decision library takes them.
+    /// Returns all entries, converted for the decision library.
     pub fn library_entries(&self, settings: &Settings) -> Result<Vec<Endpoint>, InvalidDocument> {
         let mut endpoints = Vec::with_capacity(self.entries.len());
         for (index, entry) in self.entries.values().enumerate() {
@@ -131,7 +135,7 @@
         Ok(endpoints)
     }
 
-    /// Checks that an endpoint does not move to another destination.
+    /// Checks that an endpoint in the list keeps its destination.
     fn check_destination_unchanged(
         &self,
         entry: &EndpointEntry,
@@ -167,19 +171,20 @@
     }
 }
 
-/// The path of an entry in its document.
+/// The path of an entry in its document, for errors.
 #[derive(Clone, Copy, Debug)]
 struct EntryPath {
     index: usize,
 }
 
 impl EntryPath {
+    /// Returns the path of a field of the entry.
     fn field(self, name: &str) -> String {
         format!("entries[{}].{name}", self.index)
     }
 }
 
-/// Converts an entry for the decision library.
+/// Converts an entry for the decision library: names of kinds and zones become their numbers.
 fn library_endpoint(
     entry: &EndpointEntry,
     settings: &Settings,
--- a/crates/edge/src/settings/error.rs
+++ b/crates/edge/src/settings/error.rs
@@ -2,18 +2,17 @@
 
 use serde::Serialize;
 
-/// Why a document is rejected: the field, what is wrong with it, and what is expected. The control interface
-/// returns it as JSON.
+/// Why a document is rejected. The control interface returns it as the `error` object of a JSON reply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize)]
 #[error("{field}: {reason}")]
 pub struct InvalidDocument {
-    /// The path of the field in the document.
+    /// The path of the field in the document, such as `classes[1].repeat`.
     pub field: String,
-    /// What is wrong with it and what is expected.
+    /// What is wrong with the value, and which values are valid.
     pub reason: String,
 }
 
-/// Rejects a document because of this field.
+/// Returns the error that rejects a document because of this field.
 pub(super) fn reject<T>(field: impl Into<String>, reason: impl Into<String>) -> Result<T, InvalidDocument> {
     Err(InvalidDocument { field: field.into(), reason: reason.into() })
 }
--- a/crates/edge/src/settings/library.rs
+++ b/crates/edge/src/settings/library.rs
@@ -1,11 +1,12 @@
-//! The conversion of the settings document to the settings of the decision library.
+//! Conversion of the settings document to the settings of the decision library: names become numbers, and
+//! milliseconds and microseconds become nanoseconds.
 
 use super::documents::{ClassDoc, KindDoc, RatesDoc, RepeatDoc, Settings};
 use crate::time::{NANOS_PER_MS, NANOS_PER_US};
 use linnetcart::{Class, DestinationKind, Idempotency, RateAccuracy, Settings as LibrarySettings, Time};
 
 impl Settings {
-    /// Returns the settings of the decision library.
+    /// Converts these settings, which must be valid, for the decision library.
     pub fn library_settings(&self) -> LibrarySettings {
         LibrarySettings {
             courier_count: self.courier.count,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Returns how long a message may be served, in nanoseconds.
+    /// Returns the time from submission within which a message must get its final answer, in nanoseconds.
     pub fn deadline(&self) -> Time {
         self.deadline_ms * NANOS_PER_MS
     }
--- a/crates/edge/src/settings/tests.rs
+++ b/crates/edge/src/settings/tests.rs
@@ -1,9 +1,9 @@
-//! Documents: which are valid, and the errors of those that are not.
+//! Validation of settings and endpoint lists, and the errors for invalid documents.
 
 use super::*;
 use linnetcart::Idempotency;
 
-/// A document with three classes, as the tests of this package use it.
+/// A valid settings document with one class for each kind of idempotency.
 pub(crate) fn sample() -> serde_json::Value {
     serde_json::json!({
         "deployment": "test",
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn settings_written_and_read_again_are_equal() {
+fn settings_serialized_and_parsed_again_are_equal() {
     let settings = parse(&sample()).unwrap();
-    let again = Settings::parse(&serde_json::to_vec(&settings).unwrap()).unwrap();
-    assert_eq!(settings, again);
+    let parsed_again = Settings::parse(&serde_json::to_vec(&settings).unwrap()).unwrap();
+    assert_eq!(settings, parsed_again);
     assert_eq!(
         settings.library_settings().classes[1].idempotency,
         Idempotency::Keyed { dedup_window: 8_000_000_000, per_zone: false }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn settings_with_a_wrong_field_are_rejected_with_its_path() {
+fn settings_with_an_invalid_field_are_rejected_with_its_path() {
     let cases: &[(&str, serde_json::Value, &str)] = &[
         ("/classes/1/repeat", serde_json::json!("sometimes"), "classes[1].repeat"),
         ("/classes/0/deadline_ms", serde_json::json!(10), "classes[0].deadline_ms"),
@@ -88,24 +88,26 @@
     };
     let first =
         update(1, true, &[entry(10, "large", EntryState::Ready), entry(20, "small", EntryState::Ready)]);
-    let UpdatedList { list, library_entries } = EndpointList::default().after(&first, &settings).unwrap();
+    let UpdatedList { list, library_entries } =
+        EndpointList::default().with_update(&first, &settings).unwrap();
     assert_eq!((list.entries.len(), library_entries.len()), (2, 2));
     let change = update(
         2,
         false,
         &[entry(10, "large", EntryState::Removed), entry(21, "small", EntryState::Draining)],
     );
-    let changed = list.after(&change, &settings).unwrap().list;
+    let changed = list.with_update(&change, &settings).unwrap().list;
     assert_eq!(changed.entries.keys().copied().collect::<Vec<_>>(), [20, 21]);
-    let field = |n: &EndpointListUpdate| list.after(n, &settings).unwrap_err().field;
+    let field = |update: &EndpointListUpdate| list.with_update(update, &settings).unwrap_err().field;
     assert_eq!(field(&first), "version");
     assert_eq!(field(&update(2, false, &[entry(11, "huge", EntryState::Ready)])), "entries[0].kind");
     assert_eq!(field(&update(2, false, &[entry(11, "small", EntryState::Ready)])), "entries");
-    let twice = [entry(11, "large", EntryState::Ready), entry(11, "large", EntryState::Ready)];
-    assert_eq!(field(&update(2, true, &twice)), "entries[1].id");
+    let duplicate = [entry(11, "large", EntryState::Ready), entry(11, "large", EntryState::Ready)];
+    assert_eq!(field(&update(2, true, &duplicate)), "entries[1].id");
 }
 
-/// Operators know the error texts of the control interface, which include the names of the document types.
+/// Error texts of the control interface include the Rust names of the document types. The test guards against
+/// changed texts after a type is renamed.
 #[test]
 fn document_of_wrong_type_is_rejected_with_the_type_names_of_earlier_versions() {
     let cases = [
--- a/crates/edge/src/settings/validation.rs
+++ b/crates/edge/src/settings/validation.rs
@@ -5,32 +5,34 @@
 use super::InvalidDocument;
 use std::collections::BTreeSet;
 
-/// The longest time span in a document. It keeps sums of times far from overflow.
-const MAX_SPAN_MS: u64 = 7 * 24 * 3600 * 1000;
+/// Maximum duration in a document: 7 days. Sums of durations in nanoseconds stay far below the maximum of a
+/// 64-bit integer.
+const MAX_DURATION_MS: u64 = 7 * 24 * 3600 * 1000;
 const MAX_NAME_BYTES: usize = 200;
 const MAX_CLASSES: u64 = 200;
-/// Zones and kinds have numbers of 8 bits.
+/// The decision library numbers zones and kinds with 8 bits.
 const MAX_ZONES: u64 = 255;
 const MAX_KINDS: u64 = 255;
 const MAX_WEIGHT: f64 = 1e9;
-const MAX_RATE: f64 = 1e9;
+/// Maximum quota of a tenant, in messages per second.
+const MAX_QUOTA: f64 = 1e9;
 const MAX_PRICE: f64 = 1e6;
 const MAX_OVERLOAD_RATIO: f64 = 1e6;
 const MIN_SLOW_START_RATIO: f64 = 0.001;
-/// The shortest deadline of a class, in ticks.
+/// Minimum deadline of a class, in decision cycles (`tick_us`).
 const MIN_DEADLINE_TICKS: u64 = 4;
 
 type Validation = Result<(), InvalidDocument>;
 
 impl Settings {
-    /// Parses and checks a document.
+    /// Parses and validates a settings document.
     pub fn parse(body: &[u8]) -> Result<Settings, InvalidDocument> {
-        let settings: Settings = super::read(body)?;
+        let settings: Settings = super::parse_document(body)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks all values of the document.
+    /// Validates all values. The error is that of the first invalid field.
     pub fn check(&self) -> Result<(), InvalidDocument> {
         self.check_courier_and_zones()?;
         check_classes(&self.classes)?;
@@ -39,9 +41,9 @@
         check_limits(&self.limits)?;
         check_permissions(&self.permissions)?;
         check_count("connections.calls", self.connections.max_calls.into(), 1, 100_000)?;
-        check_span("connections.idle_ms", self.connections.idle_timeout_ms, 1)?;
-        check_span("connections.connect_timeout_ms", self.connections.connect_timeout_ms, 1)?;
-        check_span("clocks.apart_ms", self.clocks.max_skew_ms, 0)?;
+        check_duration("connections.idle_ms", self.connections.idle_timeout_ms, 1)?;
+        check_duration("connections.connect_timeout_ms", self.connections.connect_timeout_ms, 1)?;
+        check_duration("clocks.apart_ms", self.clocks.max_skew_ms, 0)?;
         check_rules(&self.rules)?;
         check_number("worth.over_share", self.weights.over_quota, 0.0, 1.0)?;
         check_prices(&self.prices)?;
@@ -60,8 +62,8 @@
         Ok(())
     }
 
-    /// Checks that the shortest deadline of a class is long enough for the clock skew and for decision
-    /// cycles.
+    /// Checks that the shortest deadline of all classes exceeds twice the clock skew and spans at least
+    /// [`MIN_DEADLINE_TICKS`] decision cycles.
     fn check_shortest_deadline(&self) -> Validation {
         let shortest_ms = self.classes.iter().map(|class| class.deadline_ms).min().unwrap_or(0);
         if self.clocks.max_skew_ms * 2 >= shortest_ms {
@@ -86,17 +88,18 @@
             let reason = "letters, digits, `.`, `_` and `-` are expected: it names a topic";
             return reject(path("name"), reason);
         }
-        check_span(&path("aim_ms"), class.latency_objective_ms, 1)?;
-        check_span(&path("deadline_ms"), class.deadline_ms, class.latency_objective_ms)?;
+        check_duration(&path("aim_ms"), class.latency_objective_ms, 1)?;
+        check_duration(&path("deadline_ms"), class.deadline_ms, class.latency_objective_ms)?;
         check_number(&path("worth"), class.priority_weight, 0.0, MAX_WEIGHT)?;
         check_number(&path("late_worth"), class.late_weight, 0.0, 1.0)?;
         if let RepeatDoc::Keyed { dedup_window_ms, .. } = class.idempotency {
-            check_span(&path("repeat.keyed.window_ms"), dedup_window_ms, 1)?;
+            check_duration(&path("repeat.keyed.window_ms"), dedup_window_ms, 1)?;
         }
     }
     Ok(())
 }
 
+/// Returns whether Kafka permits the character in the name of a topic.
 fn is_topic_character(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '.' | '_' | '-')
 }
@@ -113,7 +116,7 @@
 fn check_tenants(tenants: &[TenantDoc]) -> Validation {
     check_names("tenants", tenants.iter().map(|tenant| &tenant.name))?;
     for (index, tenant) in tenants.iter().enumerate() {
-        check_number(&format!("tenants[{index}].rate"), tenant.quota, 0.0, MAX_RATE)?;
+        check_number(&format!("tenants[{index}].rate"), tenant.quota, 0.0, MAX_QUOTA)?;
     }
     Ok(())
 }
@@ -130,27 +133,27 @@
 }
 
 fn check_permissions(permissions: &Allow) -> Validation {
-    let cannot = "this program has no way to do that; leave it out or false";
+    let unsupported = "this program has no way to do that; leave it out or false";
     if permissions.health_checks {
-        return reject("allow.probes", cannot);
+        return reject("allow.probes", unsupported);
     }
     if permissions.gossip {
-        return reject("allow.notes", cannot);
+        return reject("allow.notes", unsupported);
     }
     if permissions.list_polled {
         let reason = "this program is told the list by PUT /list; leave it out or false";
         return reject("allow.list_asked", reason);
     }
-    check_span("allow.come_back_ms", permissions.max_retry_after_ms, 0)
+    check_duration("allow.come_back_ms", permissions.max_retry_after_ms, 0)
 }
 
 fn check_rules(rules: &Rules) -> Validation {
-    check_span("rules.answer_slack_ms", rules.answer_grace_ms, 0)?;
+    check_duration("rules.answer_slack_ms", rules.answer_grace_ms, 0)?;
     check_number("rules.cold_share", rules.slow_start_ratio, MIN_SLOW_START_RATIO, 1.0)?;
-    check_span("rules.warm_after_ms", rules.slow_start_ms, 0)?;
+    check_duration("rules.warm_after_ms", rules.slow_start_ms, 0)?;
     check_number("rules.fall_multiple", rules.overload_ratio, 1.0, MAX_OVERLOAD_RATIO)?;
-    check_span("rules.fall_span_ms", rules.overload_window_ms, 1)?;
-    check_span("rules.key_rest_ms", rules.key_cooldown_ms, 0)
+    check_duration("rules.fall_span_ms", rules.overload_window_ms, 1)?;
+    check_duration("rules.key_rest_ms", rules.key_cooldown_ms, 0)
 }
 
 fn check_prices(prices: &Prices) -> Validation {
@@ -165,6 +168,7 @@
     Ok(())
 }
 
+/// Checks that names are unique and not empty or too long.
 fn check_names<'a>(field: &str, names: impl Iterator<Item = &'a String>) -> Validation {
     let mut seen = BTreeSet::new();
     for (index, name) in names.enumerate() {
@@ -179,25 +183,26 @@
     Ok(())
 }
 
-fn check_span(field: &str, ms: u64, least: u64) -> Validation {
-    if (least..=MAX_SPAN_MS).contains(&ms) {
+/// Checks that a duration is between a minimum and [`MAX_DURATION_MS`].
+fn check_duration(field: &str, ms: u64, min: u64) -> Validation {
+    if (min..=MAX_DURATION_MS).contains(&ms) {
         return Ok(());
     }
-    reject(field, format!("{ms} ms; between {least} and {MAX_SPAN_MS} is expected"))
+    reject(field, format!("{ms} ms; between {min} and {MAX_DURATION_MS} is expected"))
 }
 
-/// Checks that a number is finite and within these bounds.
-pub(super) fn check_number(field: &str, number: f64, least: f64, most: f64) -> Validation {
-    if number.is_finite() && (least..=most).contains(&number) {
+/// Checks that a number is finite and within these inclusive bounds.
+pub(super) fn check_number(field: &str, number: f64, min: f64, max: f64) -> Validation {
+    if number.is_finite() && (min..=max).contains(&number) {
         return Ok(());
     }
-    reject(field, format!("{number}; between {least} and {most} is expected"))
+    reject(field, format!("{number}; between {min} and {max} is expected"))
 }
 
-/// Checks that a count is within these bounds.
-pub(super) fn check_count(field: &str, count: u64, least: u64, most: u64) -> Validation {
-    if (least..=most).contains(&count) {
+/// Checks that a count is within these inclusive bounds.
+pub(super) fn check_count(field: &str, count: u64, min: u64, max: u64) -> Validation {
+    if (min..=max).contains(&count) {
         return Ok(());
     }
-    reject(field, format!("{count}; between {least} and {most} is expected"))
+    reject(field, format!("{count}; between {min} and {max} is expected"))
 }
--- a/crates/edge/src/shell/telemetry/start.rs
+++ b/crates/edge/src/shell/telemetry/start.rs
@@ -1,4 +1,4 @@
-//! How reporting starts: the counters of an earlier run are restored, and the counter files are created.
+//! Start of reporting: restores the counters of an earlier run and creates the counter files.
 
 use super::reporting::Reporting;
 use crate::core::Core;
@@ -10,8 +10,8 @@
 use std::path::Path;
 
 impl Shell {
-    /// Starts reporting, or applies changed settings to it, once telemetry is configured. Counters continue
-    /// from those of an earlier run.
+    /// Starts reporting once the courier and telemetry have settings, or applies changed settings to it.
+    /// Counters continue from those of an earlier run.
     pub(in crate::shell) fn configure_reporting(&mut self) {
         let now = self.now();
         let (Some(settings), Some(core)) = (&self.program.telemetry, &self.program.core) else { return };
@@ -22,7 +22,7 @@
             }
             return;
         }
-        let courier = courier_info(core, self.program.start.seed);
+        let courier = courier_info(core, self.program.start_options.seed);
         let settings = settings.clone();
         if let Some(mut reporting) = self.start_reporting(courier, settings, now) {
             reporting.configure_metrics_listener(&mut self.net);
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Starts reporting. Returns `None` if the counter files cannot be used: the counters must not restart at
-    /// zero, so the next iteration tries again.
+    /// Starts reporting. Returns `None` if the counter files cannot be read or written. Reporting anyway
+    /// would restart the counters at zero, so the next iteration tries again.
     fn start_reporting(
         &mut self,
         courier: CourierInfo,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns what telemetry needs to know of the courier once.
+/// Returns the identity and the classes of the courier, which do not change while it runs.
 fn courier_info(core: &Core, seed: u64) -> CourierInfo {
     let settings = core.settings();
     let library_classes = settings.library_settings().classes;
