--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -1,8 +1,8 @@
-//! The shell of the Kafka front: the event loop that moves bytes between sockets and the core and reads the
-//! clocks.
+//! The shell of the Kafka front: the event loop, which reads the clocks and moves bytes between sockets and
+//! the core (functional core, imperative shell).
 //!
-//! It owns the sockets, the log and the files of the state directory. It never decides anything about
-//! messages.
+//! The shell owns the sockets, the log and the files of the state directory. It never makes a decision about
+//! a message.
 
 mod delivery_events;
 mod events;
@@ -29,18 +29,18 @@
 use std::time::{Duration, Instant, SystemTime};
 use telemetry::Reporting;
 
-/// The reading of the monotonic clock at the start. It is not zero, so that a time span can be subtracted
-/// from it.
+/// Reading of the monotonic clock at the start: one hour. It is not zero, so that a duration can be
+/// subtracted from any reading without underflow.
 const CLOCK_START: Time = 3600 * NANOS_PER_SECOND;
-/// The longest interval between two polls. Input may have arrived at any time since the previous poll, so a
-/// message may be taken to have expired up to twice this interval too early.
+/// Maximum interval between two polls. Input may have arrived at any time since the previous poll, so the
+/// core may consider a message expired up to twice this interval too early.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// An iteration that is late by more than this follows a stall, after which all input is read before any
-/// decision.
-const STALL: Duration = Duration::from_millis(20);
-/// The greatest number of polls that read the input after a stall.
+/// An iteration that is late by more than this follows a stall of the process. All input is then read before
+/// any decision, so that the decision library sees every answer that has arrived before it sends anything.
+const STALL_THRESHOLD: Duration = Duration::from_millis(20);
+/// Maximum number of polls that read the input after a stall.
 const MAX_STALL_POLLS: usize = 64;
-/// How long sending the last responses and the last report may take at the end.
+/// Time limit at shutdown for sending the last responses, and for sending the last report.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A host, by name or address, and a port.
@@ -52,31 +52,31 @@
     pub port: u16,
 }
 
-/// The options that the program is started with.
+/// Options of the program, from the command line.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where clients connect.
+    /// Address at which Kafka clients connect.
     pub kafka: SocketAddr,
-    /// Where the control interface listens.
+    /// Address of the control interface.
     pub control: SocketAddr,
-    /// The host and port in Metadata responses, if others than those of `kafka`.
+    /// Host and port that Metadata responses advertise; by default those of `kafka`.
     pub advertise: Option<HostPort>,
-    /// The directory of the snapshot and the counters. Without it nothing is saved.
+    /// Directory of the snapshot and the counters. Without it nothing is saved.
     pub state_dir: Option<PathBuf>,
-    /// The seed of the decisions' randomness. Without it the seed depends on the clock and the process id.
+    /// Seed of the decision policy's random numbers; by default from the wall clock and the process id.
     pub seed: Option<u64>,
-    /// How long the courier works on messages after the first signal.
+    /// Drain timeout: how long the courier works on messages in flight after the first signal.
     pub drain: Duration,
-    /// The greatest number of connections.
+    /// Maximum number of TCP connections, of clients and endpoints together.
     pub max_connections: usize,
-    /// Makes the decision policy.
+    /// Creates the decision policy.
     pub policy: PolicyFactory,
 }
 
 /// How the program ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Every message has its final answer.
+    /// Graceful shutdown: every message has its final answer.
     Drained,
     /// A second signal arrived before every message had its final answer.
     Interrupted,
@@ -94,25 +94,27 @@
     Graphite,
 }
 
-/// The program with its sockets.
+/// The state of the shell.
 struct Shell {
     net: Net,
     program: Program,
     options: Options,
     kafka_listener: Token,
+    /// The peer of each open connection.
     roles: BTreeMap<Token, Role>,
     upstream_tokens: BTreeMap<UpstreamId, Token>,
     started_at: Instant,
-    /// When the first signal arrived.
+    /// When the first signal arrived, which began the graceful shutdown.
     drain_started: Option<Instant>,
     log_limiter: LogLimiter,
+    /// Reporting of telemetry, once it is configured.
     reporting: Option<Reporting>,
 }
 
 /// Runs the program until it has drained after a signal, or until a second signal.
 pub fn run(options: Options) -> anyhow::Result<Exit> {
     let mut net = retry_momentary(|| create_event_loop(options.max_connections))
-        .context("the event loop cannot be made")?;
+        .context("the event loop cannot be created")?;
     let kafka = listen(&mut net, options.kafka, "--kafka")?;
     let control = listen(&mut net, options.control, "--control")?;
     let mut program = Program::new(start_options(&options, kafka.address));
@@ -141,21 +143,22 @@
     Ok(shell.serve())
 }
 
-/// Creates the event loop. Signals that arrive from then on are queued and do not kill the process.
+/// Creates the event loop. From then on, SIGTERM and SIGINT are reported as events instead of ending the
+/// process.
 fn create_event_loop(max_connections: usize) -> std::io::Result<Net> {
     let mut net = Net::new(max_connections)?;
     net.watch_signals(&[Signal::SIGTERM, Signal::SIGINT])?;
     Ok(net)
 }
 
-/// Prints the addresses on which the program listens as one line of JSON on standard output.
+/// Prints the bound addresses as one line of JSON on standard output, for whoever started the process.
 fn print_addresses(kafka: SocketAddr, control: SocketAddr) -> anyhow::Result<()> {
     let addresses = json!({"kafka": kafka.to_string(), "control": control.to_string()});
     let mut stdout = std::io::stdout();
     writeln!(stdout, "{addresses}").and_then(|()| stdout.flush()).context("standard output is closed")
 }
 
-/// Returns the wall clock, in nanoseconds since 1970.
+/// Reads the wall clock, in nanoseconds since the Unix epoch.
 fn wall_clock() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos() as u64
 }
@@ -165,7 +168,7 @@
 }
 
 impl Shell {
-    /// Returns the monotonic clock, in nanoseconds.
+    /// Reads the monotonic clock, in nanoseconds.
     fn now(&self) -> Time {
         CLOCK_START + nanos(self.started_at.elapsed())
     }
@@ -190,7 +193,8 @@
             if let Some(core) = &mut self.program.core {
                 core.process(now);
             }
-            // Every message is counted before its answer is sent.
+            // Counts go to the counter log before the answers are sent, so that a crash of the process loses
+            // no count that a client was notified of.
             self.record_delivery_events();
             self.report();
             self.carry_out();
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Handles the events of a poll. Returns how the program ends if a second signal is among them.
+    /// Handles the events of a poll. Returns [`Exit::Interrupted`] if a second signal is among them.
     fn handle_events(&mut self, events: &mut Vec<Event>, now: Time) -> Option<Exit> {
         for event in events.drain(..) {
             match event {
@@ -216,25 +220,25 @@
         None
     }
 
-    /// Waits for events until the next iteration is due. After a stall it reads all input. Returns when the
-    /// poll began.
+    /// Waits for events until the next iteration is due. After a stall it reads all input that has arrived.
+    /// Returns when the wait began.
     fn poll(&mut self, events: &mut Vec<Event>) -> Time {
         let report_at = self.reporting.as_ref().map_or(Time::MAX, Reporting::next_wakeup);
         let core_at = self.program.core.as_ref().map_or(Time::MAX, Core::next_wakeup);
-        let wanted_at = core_at.min(report_at);
-        let timeout = Duration::from_nanos(wanted_at.saturating_sub(self.now())).min(MAX_POLL_INTERVAL);
+        let wakeup_at = core_at.min(report_at);
+        let timeout = Duration::from_nanos(wakeup_at.saturating_sub(self.now())).min(MAX_POLL_INTERVAL);
         let poll_began = self.now();
         self.net.poll(timeout, events);
-        let stall = nanos(timeout + STALL);
+        let stall = nanos(timeout + STALL_THRESHOLD);
         let polled_for = self.now().saturating_sub(poll_began);
-        let late_by = self.now().saturating_sub(wanted_at);
+        let late_by = self.now().saturating_sub(wakeup_at);
         if polled_for > stall || late_by > stall {
             self.read_all(events);
         }
         poll_began
     }
 
-    /// Reads all input that arrived during a stall.
+    /// Polls without waiting until there are no more events, to read all input that arrived during a stall.
     fn read_all(&mut self, events: &mut Vec<Event>) {
         for _ in 0..MAX_STALL_POLLS {
             let before = events.len();
@@ -247,6 +251,7 @@
 
     // ---- Graceful shutdown
 
+    /// Stops accepting Kafka connections and messages, and lets the core finish the messages in flight.
     fn begin_drain(&mut self, now: Time) {
         tracing::info!(seconds = self.options.drain.as_secs_f64(), "draining, nothing new is accepted");
         self.drain_started = Some(Instant::now());
@@ -256,8 +261,8 @@
         }
     }
 
-    /// Returns whether the program may end: every message has its final answer, and the responses and the
-    /// last report have been sent or have timed out.
+    /// Returns whether the graceful shutdown is complete: every message has its final answer, and the
+    /// responses and the last report are sent or have timed out.
     fn is_drained(&mut self, now: Time) -> bool {
         let Some(drain_started) = self.drain_started else { return false };
         let core_done = self.program.core.as_ref().is_none_or(Core::is_done);
--- a/crates/edge/src/shell/delivery_events.rs
+++ b/crates/edge/src/shell/delivery_events.rs
@@ -1,4 +1,4 @@
-//! How the shell passes delivery events on: to telemetry and to the log.
+//! Passes delivery events of the core to telemetry and to the log.
 
 use super::log_limit::LogLimiter;
 use super::Shell;
@@ -7,8 +7,9 @@
 use linnetcart_courier_common::log_limit_change;
 
 impl Shell {
+    /// Counts and logs the delivery events since the last call.
     pub(super) fn record_delivery_events(&mut self) {
-        // Reporting must start before the first event is taken, so that every event is counted.
+        // Reporting must start before the first event is taken from the core, so that every event is counted.
         self.configure_reporting();
         let now = self.now();
         let Some(core) = &mut self.program.core else { return };
@@ -21,6 +22,7 @@
     }
 }
 
+/// Logs an event. Lines that a peer or a destination can cause are rate-limited.
 fn log_delivery_event(limiter: &mut LogLimiter, now: Time, event: DeliveryEvent) {
     match event {
         DeliveryEvent::LimitChanged(change) if limiter.permits(now) => log_limit_change(&change),
--- a/crates/edge/src/shell/events.rs
+++ b/crates/edge/src/shell/events.rs
@@ -1,4 +1,4 @@
-//! How the shell handles the events of its sockets, and the requests of the control interface.
+//! Handles the events of the sockets, and the requests of the control interface.
 
 use super::{wall_clock, Role, Shell};
 use crate::control::{ConnectionHeader, HttpConnection, HttpInput, Reply, Request, CONTINUE};
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 impl Shell {
-    /// Handles an event of a socket. Signals are handled by the event loop.
+    /// Handles an event of a socket. Signals are handled in the event loop.
     pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Accepted { listener, token, .. } => self.accepted(listener, token),
@@ -27,6 +27,8 @@
         }
     }
 
+    /// Handles a connection that a listener accepted. Without settings there is no courier, and a Kafka
+    /// client is disconnected.
     fn accepted(&mut self, listener: Token, token: Token) {
         if listener != self.kafka_listener {
             self.roles.insert(token, Role::Control(HttpConnection::default()));
@@ -52,7 +54,7 @@
     fn connect_failed(&mut self, token: Token, failure: ConnectFailure) {
         self.graphite_disconnected(token);
         self.with_upstream(token, |core, upstream| core.upstream_connect_failed(upstream, failure));
-        self.forget(token);
+        self.remove_connection(token);
     }
 
     fn received(&mut self, token: Token, bytes: &[u8]) {
@@ -67,6 +69,7 @@
         }
     }
 
+    /// Handles a peer that shut down its sending side.
     fn half_closed(&mut self, token: Token) {
         match (self.roles.get(&token), &mut self.program.core) {
             (Some(Role::Client), Some(core)) => core.client_half_closed(token),
@@ -75,19 +78,20 @@
                 self.closed(token, 0);
             }
             (Some(Role::Upstream(_)), _) => {
-                // An endpoint that has shut down its sending side will not answer any call.
+                // An endpoint that has shut down its sending side cannot answer any call.
                 let written = self.net.written_bytes(token);
                 self.net.close(token);
                 self.closed(token, written);
             }
             _ => {
                 self.net.close_after_flush(token);
-                self.forget(token);
+                self.remove_connection(token);
             }
         }
     }
 
-    /// Handles a connection that closed after the operating system accepted `written` bytes for it.
+    /// Handles a connection that closed after the operating system had accepted `written` bytes for it. The
+    /// core concludes from them which attempts were sent.
     fn closed(&mut self, token: Token, written: u64) {
         self.graphite_disconnected(token);
         match (self.roles.get(&token), &mut self.program.core) {
@@ -95,7 +99,7 @@
             (Some(Role::Upstream(upstream)), Some(core)) => core.upstream_disconnected(*upstream, written),
             _ => {}
         }
-        self.forget(token);
+        self.remove_connection(token);
     }
 
     fn graphite_disconnected(&mut self, token: Token) {
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Calls `notify` if the connection is one to an endpoint.
+    /// Calls `notify` if the connection is to an endpoint.
     fn with_upstream(&mut self, token: Token, notify: impl FnOnce(&mut Core, UpstreamId)) {
         if let (Some(Role::Upstream(upstream)), Some(core)) = (self.roles.get(&token), &mut self.program.core)
         {
@@ -113,7 +117,8 @@
         }
     }
 
-    fn forget(&mut self, token: Token) {
+    /// Removes a connection that has closed from the tables.
+    fn remove_connection(&mut self, token: Token) {
         if let Some(Role::Upstream(upstream)) = self.roles.remove(&token) {
             self.upstream_tokens.remove(&upstream);
         }
@@ -121,6 +126,7 @@
 
     // ---- The control interface
 
+    /// Handles all complete requests that a connection of the control interface has received.
     fn process_control_requests(&mut self, token: Token) {
         loop {
             let Some(Role::Control(http)) = self.roles.get_mut(&token) else { return };
@@ -143,10 +149,11 @@
         self.net.send(token, &reply.encode(connection));
         if connection == ConnectionHeader::Close {
             self.net.close_after_flush(token);
-            self.forget(token);
+            self.remove_connection(token);
         }
     }
 
+    /// Handles a request of the control interface. Without a state directory nothing is saved.
     fn control_reply(&mut self, request: &Request) -> Reply {
         self.program.process_status = self.process_status();
         let state_dir = self.options.state_dir.as_deref();
@@ -164,7 +171,7 @@
         reply
     }
 
-    /// Returns the figures of the process for the status page.
+    /// Returns the figures of the process for the status page, by their JSON keys.
     fn process_status(&self) -> serde_json::Map<String, serde_json::Value> {
         let telemetry = self.reporting.as_ref().map(|reporting| reporting.status(self.now()));
         let figures = [
--- a/crates/edge/src/shell/log_limit/tests.rs
+++ b/crates/edge/src/shell/log_limit/tests.rs
@@ -1,4 +1,4 @@
-//! The bound on log lines.
+//! The rate limit on log lines.
 
 use super::*;
 
--- a/crates/edge/src/shell/outputs.rs
+++ b/crates/edge/src/shell/outputs.rs
@@ -1,10 +1,11 @@
-//! How the shell carries out the outputs of the core.
+//! Carries out the outputs of the core on the sockets.
 
 use super::{Role, Shell};
 use crate::core::Output;
 
 impl Shell {
-    /// Carries out the core's outputs until there are no more. Writing to a client may cause further ones.
+    /// Carries out the outputs of the core until there are none left. Writing to a client may cause further
+    /// ones: a client whose backlog is written is read again.
     pub(super) fn carry_out(&mut self) {
         loop {
             let Some(core) = &mut self.program.core else { return };
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Writes the queued bytes, and reports to the core how many bytes the operating system has not accepted
-    /// from each client.
+    /// Writes queued bytes, and reports the backlog of each client to the core: the bytes for it that the
+    /// operating system has not accepted.
     fn flush(&mut self) {
         for token in self.net.flush() {
             if !matches!(self.roles.get(&token), Some(Role::Client)) {
--- a/crates/edge/src/shell/startup.rs
+++ b/crates/edge/src/shell/startup.rs
@@ -1,4 +1,4 @@
-//! How the program starts: its listeners, the start options of the core, and the saved snapshot.
+//! Steps of the program's start: listeners, the start options of the core, and the saved snapshot.
 
 use super::{wall_clock, HostPort, Options, CLOCK_START};
 use crate::control::Program;
@@ -10,18 +10,18 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Listens on the address of a command-line option.
+/// Listens on an address. The error names the command-line option that sets it.
 pub(super) fn listen(net: &mut Net, address: SocketAddr, option: &str) -> anyhow::Result<BoundSocket> {
     retry_momentary(|| net.listen(address))
         .with_context(|| format!("cannot listen on {address}; choose another with {option}"))
 }
 
-/// Returns the start options of a core whose clients connect to `kafka`.
+/// Returns the start options of a core that listens for clients on `kafka`.
 pub(super) fn start_options(options: &Options, kafka: SocketAddr) -> StartOptions {
     let run = wall_clock();
     let seed = options.seed.unwrap_or(run ^ u64::from(std::process::id()).rotate_left(40));
-    let listening = || HostPort { host: kafka.ip().to_string(), port: kafka.port() };
-    let HostPort { host, port } = options.advertise.clone().unwrap_or_else(listening);
+    let bound = || HostPort { host: kafka.ip().to_string(), port: kafka.port() };
+    let HostPort { host, port } = options.advertise.clone().unwrap_or_else(bound);
     StartOptions {
         seed,
         now: CLOCK_START,
@@ -32,8 +32,8 @@
     }
 }
 
-/// Restores the program from the snapshot of a state directory, if there is one. A damaged snapshot is moved
-/// aside and reported.
+/// Restores the program from the snapshot of a state directory, if there is one. A damaged snapshot is
+/// renamed and reported.
 pub(super) fn load_snapshot(program: &mut Program, dir: &Path) -> anyhow::Result<()> {
     let loaded = retry_momentary(|| snapshot::load(dir))
         .with_context(|| format!("{} cannot be used; see --state-dir", dir.display()))?;
--- a/crates/edge/src/shell/telemetry.rs
+++ b/crates/edge/src/shell/telemetry.rs
@@ -1,7 +1,6 @@
-//! The shell's part in telemetry: the connection to Graphite, datagrams to and from collectd, and the counter
-//! files.
+//! I/O of telemetry: the connection to Graphite, datagrams to and from collectd, and the counter files.
 //!
-//! What is counted and reported, and when, is decided by [`linnetcart_telemetry`].
+//! [`linnetcart_telemetry`] decides what is counted and reported, and when.
 
 mod reporting;
 mod start;
@@ -15,7 +14,7 @@
 use linnetcart_telemetry::{CurrentState, Output};
 
 impl Shell {
-    /// Lets telemetry report, and carries out its outputs.
+    /// Runs telemetry for this iteration and carries out its outputs. Warnings are rate-limited.
     pub(super) fn report(&mut self) {
         let now = self.now();
         let (Some(reporting), Some(core)) = (&mut self.reporting, &self.program.core) else { return };
@@ -47,7 +46,8 @@
         }
     }
 
-    /// Returns whether the last report has been sent or has timed out. The first call requests the report.
+    /// Returns whether the last report of the process has been sent or has timed out. The first call requests
+    /// the report.
     pub(super) fn last_report_sent(&mut self, now: Time) -> bool {
         let Some(reporting) = &mut self.reporting else { return true };
         let Some(requested_at) = reporting.last_report_at else {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns what telemetry needs to know of the courier for each report.
+/// Returns the gauges of the courier for a report: usage and limits, which no delivery event carries.
 fn current_state(core: &Core) -> CurrentState {
     let status = core.status();
     let limits = &core.settings().limits;
--- a/crates/edge/src/shell/telemetry/reporting.rs
+++ b/crates/edge/src/shell/telemetry/reporting.rs
@@ -1,4 +1,4 @@
-//! Telemetry of the courier with its sockets and counter files.
+//! Telemetry together with the sockets and counter files that it reports through.
 
 use crate::core::Core;
 use crate::counter_files::CounterFiles;
@@ -14,26 +14,28 @@
 /// The socket on which the host's collectd sends its metrics.
 struct MetricsListener {
     token: Token,
-    /// The address in the settings.
+    /// Address in the settings that the socket was bound with.
     address: SocketAddr,
 }
 
-/// Telemetry of the courier with its sockets and counter files.
+/// Telemetry of the courier, and its sockets and counter files.
 pub(in crate::shell) struct Reporting {
     pub(super) telemetry: Telemetry,
+    /// `None` without a state directory.
     counter_files: Option<CounterFiles>,
+    /// The connection to Graphite, open or being established.
     pub(super) graphite: Option<Token>,
-    /// The socket from which datagrams are sent to collectd.
+    /// The socket from which datagrams are sent to collectd, once one has been sent.
     collectd: Option<Token>,
     metrics_listener: Option<MetricsListener>,
-    /// The version of the endpoint list that telemetry has.
+    /// Version of the endpoint list that telemetry was last given.
     list_version: Option<u64>,
-    /// When the last report of the process was requested.
+    /// When the last report of the process was requested, at shutdown.
     pub(super) last_report_at: Option<Time>,
 }
 
 impl Reporting {
-    /// Creates the reporting of this telemetry. `counter_files` is `None` if there is no state directory.
+    /// Creates the reporting, without any socket yet. `counter_files` is `None` without a state directory.
     pub(super) fn new(telemetry: Telemetry, counter_files: Option<CounterFiles>) -> Self {
         Reporting {
             telemetry,
@@ -46,12 +48,12 @@
         }
     }
 
-    /// Returns when telemetry must be processed next.
+    /// Returns when telemetry must be processed next, at the latest.
     pub(in crate::shell) fn next_wakeup(&self) -> Time {
         self.telemetry.next_wakeup()
     }
 
-    /// Returns the state of the reporting for the status page.
+    /// Returns the status of the reporting for the status page.
     pub(in crate::shell) fn status(&self, now: Time) -> Status {
         self.telemetry.status(now)
     }
@@ -72,14 +74,14 @@
         self.telemetry.disconnected(now);
     }
 
-    /// Handles a datagram of the host's collectd. One on another socket is ignored.
+    /// Handles a datagram from the host's collectd. Datagrams on another socket are ignored.
     pub(in crate::shell) fn datagram_received(&mut self, token: Token, packet: &[u8], now: Time, wall: u64) {
         if self.metrics_listener.as_ref().is_some_and(|listener| listener.token == token) {
             self.telemetry.datagram_received(packet, now, wall);
         }
     }
 
-    /// Passes the endpoint list to telemetry if it changed.
+    /// Passes the endpoint list to telemetry if its version changed.
     pub(super) fn update_endpoints(&mut self, core: &Core) {
         let list = core.list();
         if self.list_version == Some(list.version) {
@@ -94,7 +96,7 @@
         }));
     }
 
-    /// Reports the finished syncs of the counter files to telemetry.
+    /// Reports the results of finished syncs of the counter log to telemetry.
     pub(super) fn collect_syncs(&mut self) {
         let finished = self.counter_files.as_ref().map(CounterFiles::finished).unwrap_or_default();
         for sync in finished {
@@ -110,21 +112,22 @@
         }
     }
 
-    /// Starts a sync of the counter files. If it cannot be started, its failure is reported to telemetry.
+    /// Starts a sync of the counter log in the background. If it cannot be started, the failure is reported
+    /// to telemetry at once.
     pub(super) fn sync_counters(&mut self, number: u64) {
         let telemetry = &self.telemetry;
         let started = match &mut self.counter_files {
             Some(files) => files
                 .sync(number, || telemetry.saved(), &telemetry.log_header())
                 .map_err(|error| SyncError::Storage(error.to_string())),
-            None => Err(SyncError::Storage("there is no --state-dir".to_owned())),
+            None => Err(SyncError::Storage("no --state-dir was given".to_owned())),
         };
         if started.is_err() {
             self.telemetry.synced(number, started);
         }
     }
 
-    /// Carries out an action on the connection to Graphite.
+    /// Connects, writes to or closes the connection to Graphite.
     pub(super) fn carry_out_graphite(
         &mut self,
         action: ConnectionAction,
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Binds the socket on which the host's collectd sends its metrics, or replaces it if its address
+    /// Binds the socket for metrics of the host's collectd, or replaces it if its address in the settings
     /// changed.
     pub(super) fn configure_metrics_listener(&mut self, net: &mut Net) {
         let wanted = self.telemetry.settings().listen.as_ref().map(|listen| listen.address);
@@ -171,8 +174,8 @@
         }
     }
 
-    /// Sends a datagram to collectd. A datagram that the operating system does not accept is lost; the next
-    /// report includes its counts.
+    /// Sends a datagram to collectd, from a socket that the first call binds. A datagram that the operating
+    /// system does not accept is lost. The counters are cumulative, so the next report makes up for it.
     pub(super) fn send_datagram(&mut self, net: &mut Net, address: SocketAddr, packet: &[u8]) {
         if self.collectd.is_none() {
             let any_port = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
--- a/crates/edge/src/shell/telemetry_log.rs
+++ b/crates/edge/src/shell/telemetry_log.rs
@@ -1,4 +1,4 @@
-//! The log lines for the events of telemetry: a constant message with fields. Their wording is only here.
+//! Log lines for the events of telemetry: constant messages with fields, which operators search for.
 
 use linnetcart_telemetry::LogEvent;
 
--- a/crates/edge/src/shell/telemetry_log/tests.rs
+++ b/crates/edge/src/shell/telemetry_log/tests.rs
@@ -1,4 +1,4 @@
-//! The log lines, as the program writes them.
+//! Log lines of telemetry in the plain format.
 
 use super::*;
 use linnetcart_telemetry::collectd::PacketError;
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
-/// A log that is collected in memory.
+/// A log in memory.
 #[derive(Clone, Default)]
 struct CollectedLog {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the log lines of these events.
+/// Returns the log lines of these events, without timestamps.
 fn lines(events: &[LogEvent]) -> Vec<String> {
     let log = CollectedLog::default();
     let writer = log.clone();
@@ -38,7 +38,8 @@
     String::from_utf8(bytes).unwrap().lines().map(|line| line.trim().to_owned()).collect()
 }
 
-/// Operators search logs for these: `docs/operations/telemetry.md`.
+/// Operators search logs for these messages, which `docs/operations/telemetry.md` lists. The test guards
+/// against changed texts.
 #[test]
 fn events_logged_are_constant_messages_with_fields() {
     let notification = |text: &str| HostNotification { host: "h".into(), severity: 1, text: text.to_owned() };
