--- a/crates/edge/src/cli.rs
+++ b/crates/edge/src/cli.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The exit code after a second signal.
+/// Exit code after a second signal, which ended the process before every message had its final answer.
 const EXIT_INTERRUPTED: u8 = 3;
 
 /// Takes messages from Kafka producers and delivers each to one endpoint of its destination.
@@ -77,18 +77,18 @@
 enum HostPortError {
     #[error("HOST:PORT is expected")]
     NoPort,
-    #[error("`{port}` is no port")]
+    #[error("`{port}` is not a port number")]
     InvalidPort { port: String },
 }
 
-/// Parses `HOST:PORT`. An IPv6 address is in brackets.
+/// Parses `HOST:PORT`, where an IPv6 address is in brackets.
 fn host_port(text: &str) -> Result<HostPort, HostPortError> {
     let (host, port) = text.rsplit_once(':').ok_or(HostPortError::NoPort)?;
     let port = port.parse().map_err(|_| HostPortError::InvalidPort { port: port.to_owned() })?;
     Ok(HostPort { host: host.trim_matches(['[', ']']).to_owned(), port })
 }
 
-/// Starts logging to standard error. By default logs are plain on a terminal and JSON elsewhere.
+/// Starts logging to standard error. Without `form`, logs are plain on a terminal and JSON elsewhere.
 pub fn start_logs(form: Option<LogForm>, level: tracing::Level) {
     let is_terminal = std::io::stderr().is_terminal();
     let form = form.unwrap_or(if is_terminal { LogForm::Plain } else { LogForm::Json });
@@ -96,22 +96,23 @@
         .with_writer(std::io::stderr)
         .with_max_level(level)
         .with_target(false)
-        // Otherwise a line that cannot be written is reported on standard error, which panics if that fails, too.
+        // By default a line that cannot be written is reported with `eprintln!`, which panics if standard
+        // error is closed.
         .log_internal_errors(false);
     let started = match form {
         LogForm::Json => logs.json().flatten_event(true).try_init(),
         LogForm::Plain => logs.with_ansi(is_terminal).try_init(),
     };
-    // A process that runs the program as a library may have installed a subscriber of its own already.
+    // A process that uses this crate as a library may have installed its own subscriber, which stays.
     drop(started);
 }
 
-/// Runs the program with the decision library. Returns its exit code.
+/// Runs the program with the decision library and returns the exit code.
 pub fn run(args: Args) -> ExitCode {
     run_with(args, crate::core::library)
 }
 
-/// Runs the program with another decision policy, for comparisons. Returns its exit code.
+/// Runs the program with another decision policy, for comparisons, and returns the exit code.
 pub fn run_with(args: Args, policy: PolicyFactory) -> ExitCode {
     start_logs(args.log, args.log_level);
     match args.front {
@@ -120,6 +121,7 @@
     }
 }
 
+/// Runs the front for the platform's protocol, which is configured by environment variables.
 fn run_platform() -> anyhow::Result<ExitCode> {
     let environment = linnetcart_platform::shell::Environment::read()?;
     linnetcart_platform::shell::run(environment)?;
--- a/crates/edge/src/counter_files.rs
+++ b/crates/edge/src/counter_files.rs
@@ -1,7 +1,9 @@
-//! The files of the counter store: a snapshot, and logs of the changes since.
+//! The files of the counter store: a snapshot of all counts, and logs of the changes since (a write-ahead log
+//! with checkpoints).
 //!
-//! Frames are appended to a log by the event loop. A thread of its own brings the files to disk, so that no
-//! message waits for that. What the counters mean is up to [`linnetcart_telemetry::counts`].
+//! The event loop appends frames to the log. A worker thread syncs the log and writes snapshots, so that no
+//! message waits for the disk. The content of frames and snapshots belongs to
+//! [`linnetcart_telemetry::counts`].
 
 mod layout;
 mod load;
@@ -19,48 +21,51 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use worker::{run_jobs, Job};
 
-/// A log that is longer than this is followed by a new one, after another snapshot.
+/// Maximum length of a log, not counting its header. A longer log is rotated: a new log begins, and a
+/// snapshot replaces the old one.
 const MAX_LOG_BYTES: u64 = 16 << 20;
-/// The name of the thread.
+/// Name of the worker thread.
 const THREAD_NAME: &str = "counts";
 
-/// Why the counters cannot be saved.
+/// Why counters cannot be saved.
 #[derive(Debug, thiserror::Error)]
 pub enum CounterFileError {
     /// A snapshot cannot be written.
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
-    /// A log cannot be created or synced, or the thread cannot be started.
+    /// A log cannot be created or synced, or the worker thread cannot be started.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The thread that brings the files to disk has ended.
-    #[error("the thread that keeps the counts is gone")]
-    ThreadGone,
+    /// The worker thread has ended.
+    #[error("the thread that writes the counter files has ended")]
+    WorkerEnded,
     /// No log is open.
-    #[error("there is no log")]
+    #[error("no counter log is open")]
     NoLog,
 }
 
-/// The open log, and the thread that brings the files to disk.
+/// The open log, and the channels to the worker thread.
 #[derive(Debug)]
 pub struct CounterFiles {
     dir: PathBuf,
     log: Option<File>,
     log_number: u64,
+    /// Length of the frames in the open log, in bytes.
     log_bytes: u64,
-    /// Whether a write failed. Frames after an incomplete one could not be read back.
+    /// Whether a write to the log failed. Frames after an incomplete one could not be replayed.
     log_broken: bool,
     jobs: Sender<Job>,
     finished: Receiver<FinishedSync>,
 }
 
 impl CounterFiles {
-    /// Writes a snapshot, and opens a log with this number that begins with `log_head`.
+    /// Writes a snapshot, opens the log `log_number`, which begins with `log_header`, and starts the worker
+    /// thread.
     pub fn create(
         dir: &Path,
         log_number: u64,
         counters: Saved,
-        log_head: &[u8],
+        log_header: &[u8],
     ) -> Result<CounterFiles, CounterFileError> {
         let (jobs, job_receiver) = channel();
         let (result_sender, finished) = channel();
@@ -74,7 +79,7 @@
             jobs,
             finished,
         };
-        files.open_log(log_head)?;
+        files.open_log(log_header)?;
         let dir = dir.to_owned();
         std::thread::Builder::new()
             .name(THREAD_NAME.to_owned())
@@ -82,17 +87,17 @@
         Ok(files)
     }
 
-    fn open_log(&mut self, head: &[u8]) -> io::Result<()> {
+    fn open_log(&mut self, header: &[u8]) -> io::Result<()> {
         let mut log = File::create(self.dir.join(log_name(self.log_number)))?;
-        log.write_all(head)?;
+        log.write_all(header)?;
         self.log = Some(log);
         self.log_bytes = 0;
         self.log_broken = false;
         Ok(())
     }
 
-    /// Appends a frame to the log. The frame survives the end of the process from then on, but not that of
-    /// the host before the next sync.
+    /// Appends a frame to the log. The frame then survives a crash of the process; it survives a crash of the
+    /// host only after the next sync.
     pub fn append(&mut self, frame: &[u8]) {
         if self.log_broken {
             return;
@@ -104,51 +109,52 @@
         }
     }
 
-    /// Starts to sync the log. [`CounterFiles::finished`] returns the result under this number. A broken log,
-    /// or one that is too long, is first followed by a new one and a snapshot.
+    /// Has the worker thread sync the log; [`CounterFiles::finished`] returns the result under this number. A
+    /// log that is broken or too long is rotated first.
     pub fn sync(
         &mut self,
         number: u64,
         counters: impl FnOnce() -> Saved,
-        log_head: &[u8],
+        log_header: &[u8],
     ) -> Result<(), CounterFileError> {
         if self.log_broken {
-            self.replace_broken_log(counters, log_head)?;
+            self.replace_broken_log(counters, log_header)?;
         } else if self.log_bytes > MAX_LOG_BYTES {
-            self.rotate_long_log(counters, log_head)?;
+            self.rotate_long_log(counters, log_header)?;
         }
         let log = self.log.as_ref().ok_or(CounterFileError::NoLog)?.try_clone()?;
-        self.jobs.send(Job::Sync { log, number }).map_err(|_| CounterFileError::ThreadGone)
+        self.jobs.send(Job::Sync { log, number }).map_err(|_| CounterFileError::WorkerEnded)
     }
 
-    /// Opens a new log and writes the snapshot at once, because the broken log lacks counts that only the
-    /// snapshot contains.
+    /// Rotates a broken log. It lacks frames whose counts only the snapshot contains, so the snapshot is
+    /// written before the call returns.
     fn replace_broken_log(
         &mut self,
         counters: impl FnOnce() -> Saved,
-        log_head: &[u8],
+        log_header: &[u8],
     ) -> Result<(), CounterFileError> {
-        self.open_next_log(log_head)?;
+        self.open_next_log(log_header)?;
         let written = write_snapshot(&self.dir, self.log_number, counters());
         self.log_broken = written.is_err();
         Ok(written?)
     }
 
-    /// Opens a new log and has the thread write the snapshot. The long log is valid until the snapshot is in
-    /// place.
+    /// Rotates a log that is too long. The worker thread writes the snapshot; until it is in place, the
+    /// previous snapshot and all logs since contain every count.
     fn rotate_long_log(
         &mut self,
         counters: impl FnOnce() -> Saved,
-        log_head: &[u8],
+        log_header: &[u8],
     ) -> Result<(), CounterFileError> {
-        self.open_next_log(log_head)?;
+        self.open_next_log(log_header)?;
         let job = Job::Snapshot { next_log: self.log_number, counters: Box::new(counters()) };
-        self.jobs.send(job).map_err(|_| CounterFileError::ThreadGone)
+        self.jobs.send(job).map_err(|_| CounterFileError::WorkerEnded)
     }
 
-    fn open_next_log(&mut self, log_head: &[u8]) -> Result<(), CounterFileError> {
+    /// Opens the log with the next number. If that fails, the present log counts as broken.
+    fn open_next_log(&mut self, log_header: &[u8]) -> Result<(), CounterFileError> {
         self.log_number += 1;
-        if let Err(error) = self.open_log(log_head) {
+        if let Err(error) = self.open_log(log_header) {
             self.log_number -= 1;
             self.log_broken = true;
             return Err(error.into());
--- a/crates/edge/src/counter_files/layout.rs
+++ b/crates/edge/src/counter_files/layout.rs
@@ -1,4 +1,4 @@
-//! The files of the state directory: a snapshot and numbered logs.
+//! Names and formats of the counter files in the state directory: a snapshot and numbered logs.
 
 use crate::snapshot::{encode_file, replace_file, SnapshotError};
 use linnetcart_telemetry::counts::Saved;
@@ -7,18 +7,19 @@
 use std::io;
 use std::path::Path;
 
-/// The first word of a snapshot of the counters.
+/// Magic word of a snapshot of the counters.
 pub(super) const MAGIC: &str = "linnetcart-counts";
-/// The name of the snapshot.
+/// File name of the snapshot, and prefix of the names of logs.
 pub(super) const FILE_NAME: &str = "counts";
 
-/// The content of a snapshot.
+/// Content of a snapshot of the counters.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct CounterSnapshot {
-    /// The number of the first log whose frames are not included.
+    /// Number of the first log whose frames the snapshot does not include.
     #[serde(rename = "log")]
     pub(super) next_log: u64,
+    /// All counts at the beginning of that log.
     #[serde(rename = "saved")]
     pub(super) counters: Saved,
 }
@@ -28,6 +29,7 @@
     format!("{FILE_NAME}.{number}.log")
 }
 
+/// Returns the number of the log with this file name, or `None` for another file.
 fn log_number(file_name: &str) -> Option<u64> {
     file_name.strip_prefix(FILE_NAME)?.strip_prefix('.')?.strip_suffix(".log")?.parse().ok()
 }
@@ -43,11 +45,11 @@
     Ok(numbers)
 }
 
-/// Writes a snapshot and removes the logs that it includes.
+/// Writes a snapshot and deletes the logs whose frames it includes.
 pub(super) fn write_snapshot(dir: &Path, next_log: u64, counters: Saved) -> Result<(), SnapshotError> {
     let bytes = encode_file(MAGIC, &CounterSnapshot { next_log, counters })?;
     replace_file(dir, FILE_NAME, &bytes)?;
-    // A log that cannot be removed does no harm: its number is below `next_log` and is not used again.
+    // A log that cannot be deleted does no harm: its number is below `next_log`, so it is never replayed.
     for old in log_numbers(dir).unwrap_or_default() {
         if old < next_log {
             let _ = fs::remove_file(dir.join(log_name(old)));
--- a/crates/edge/src/counter_files/load.rs
+++ b/crates/edge/src/counter_files/load.rs
@@ -1,4 +1,4 @@
-//! Loads the counters of an earlier run.
+//! Loading of the counters of an earlier run.
 
 use super::layout::{log_name, log_numbers, CounterSnapshot, FILE_NAME, MAGIC};
 use crate::snapshot::{decode_file, move_aside, SnapshotError};
@@ -8,12 +8,12 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A damaged snapshot that was moved aside.
+/// A damaged snapshot of the counters, which was renamed.
 #[derive(Debug)]
 pub struct DamagedCounters {
     /// What is wrong with it.
     pub error: SnapshotError,
-    /// Its path now.
+    /// Path that it was renamed to.
     pub moved_to: PathBuf,
 }
 
@@ -26,15 +26,15 @@
 /// The counters of an earlier run.
 #[derive(Debug)]
 pub struct LoadedCounters {
-    /// The snapshot and the logs after it.
+    /// The counts of the snapshot, and the logs to replay after it.
     pub restored: RestoredState,
-    /// The number of the next log, which has never been used.
+    /// Number for the next log, which no log has had before.
     pub next_log: u64,
-    /// The snapshot, if it was damaged. Nothing is restored then.
+    /// The snapshot if it was damaged. Nothing is restored then.
     pub damaged: Option<DamagedCounters>,
 }
 
-/// What was found in place of the snapshot.
+/// The result of reading the snapshot.
 enum FoundSnapshot {
     Missing,
     Good(CounterSnapshot),
@@ -52,7 +52,7 @@
     let log_numbers = log_numbers(dir)?;
     let after_last_log = log_numbers.last().map_or(0, |last| last + 1);
     let next_log = after_last_log.max(snapshot.as_ref().map_or(0, |snapshot| snapshot.next_log));
-    // Logs without their snapshot cannot be used: they contain changes only.
+    // Logs contain changes only, so they cannot be replayed without their snapshot.
     let first_log = snapshot.as_ref().map_or(u64::MAX, |snapshot| snapshot.next_log);
     let mut logs = Vec::new();
     for number in log_numbers {
@@ -64,7 +64,7 @@
     Ok(LoadedCounters { restored: RestoredState { saved, logs }, next_log, damaged })
 }
 
-/// Reads the snapshot. A damaged one is moved aside.
+/// Reads the snapshot. A damaged one is renamed.
 fn load_snapshot(dir: &Path) -> io::Result<FoundSnapshot> {
     let bytes = match fs::read(dir.join(FILE_NAME)) {
         Ok(bytes) => bytes,
--- a/crates/edge/src/counter_files/worker.rs
+++ b/crates/edge/src/counter_files/worker.rs
@@ -1,4 +1,4 @@
-//! The thread that syncs logs and writes snapshots, so that the event loop never waits for the disk.
+//! The worker thread: syncs logs and writes snapshots, so that the event loop does not wait for the disk.
 
 use super::layout::write_snapshot;
 use super::CounterFileError;
@@ -7,24 +7,24 @@
 use std::path::Path;
 use std::sync::mpsc::{Receiver, Sender};
 
-/// A job of the thread.
+/// A job of the worker thread.
 pub(super) enum Job {
-    /// Syncs a log. `number` identifies the request.
+    /// Syncs the data of a log to disk. `number` identifies the sync in its result.
     Sync { log: File, number: u64 },
-    /// Writes a snapshot that includes all logs before `next_log`.
+    /// Writes a snapshot of the counts, which includes all logs before `next_log`.
     Snapshot { next_log: u64, counters: Box<Saved> },
 }
 
-/// A sync that has finished.
+/// The result of a sync.
 #[derive(Debug)]
 pub struct FinishedSync {
-    /// The number that it was requested with.
+    /// Number that the sync was requested with.
     pub number: u64,
-    /// Whether the log is on disk.
+    /// Whether all frames that were appended before the sync are on disk.
     pub result: Result<(), CounterFileError>,
 }
 
-/// Runs the jobs in their order, until the channel of jobs or that of results is closed.
+/// Runs jobs in the order of their arrival, until the channel of jobs or that of results is closed.
 pub(super) fn run_jobs(dir: &Path, jobs: &Receiver<Job>, results: &Sender<FinishedSync>) {
     while let Ok(job) = jobs.recv() {
         match job {
@@ -34,7 +34,8 @@
                     return;
                 }
             }
-            // If this fails, the logs stay in place and contain everything that the snapshot would.
+            // After a failure the previous snapshot and all logs since stay in place, which contain every
+            // count.
             Job::Snapshot { next_log, counters } => {
                 if let Err(error) = write_snapshot(dir, next_log, *counters) {
                     tracing::warn!(%error, "counter snapshot not written");
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -2,8 +2,9 @@
 //! its destination, and gives each exactly one final answer.
 //!
 //! [`core`] does no I/O: it takes bytes, clock readings and connection events, and returns bytes, connects,
-//! closes and delivery events. It passes every decision on messages to the library [`linnetcart`] and carries
-//! out the actions that come back. [`shell`] moves the bytes on a calloop event loop and decides nothing.
+//! closes and delivery events. It leaves every decision about messages to the library [`linnetcart`] and
+//! carries out the actions that the library returns. [`shell`] does the I/O on a calloop event loop and makes
+//! no decision about messages.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
--- a/crates/edge/src/main.rs
+++ b/crates/edge/src/main.rs
@@ -1,4 +1,4 @@
-//! `linnetcart-edge`.
+//! The `linnetcart-edge` program.
 
 use clap::Parser;
 use linnetcart_edge::cli::Args;
--- a/crates/edge/src/snapshot.rs
+++ b/crates/edge/src/snapshot.rs
@@ -1,8 +1,9 @@
-//! The snapshot of the settings, the endpoint list and the settings of telemetry, in one file that is always
-//! complete.
+//! The snapshot file: the settings, the endpoint list and the settings of telemetry. It is replaced
+//! atomically, so that a crash leaves either the old or the new file.
 //!
-//! The first line of a file has a magic word, the version of the format, and the checksum and length of the
-//! content. The content follows in JSON. The files of the counters have the same format.
+//! The header line of a file has four words: magic word, version of the format, CRC-32C of the content in
+//! hexadecimal, and length of the content in bytes. The content follows in JSON. The snapshot of the counters
+//! has the same format.
 
 use crate::settings::{EndpointList, Settings};
 use linnetcart_telemetry::settings::Telemetry;
@@ -12,43 +13,43 @@
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// The first word of a snapshot.
+/// Magic word of a snapshot of the settings.
 const MAGIC: &str = "linnetcart-snapshot";
-/// The supported version of the format.
+/// Version of the format that is written, and the only one that can be read.
 const FORMAT_VERSION: u32 = 1;
 const FILE_NAME: &str = "snapshot";
 
 /// Why a file cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The first line is not terminated.
-    #[error("it has no first line")]
+    /// The header line is not terminated.
+    #[error("the header line is missing or truncated")]
     NoHeader,
-    /// The first line is not UTF-8.
-    #[error("its first line is no text")]
-    HeaderNotText,
-    /// The first line does not have four words.
-    #[error("its first line is cut")]
-    HeaderCut,
-    /// The first word is not the magic word.
-    #[error("it is no snapshot of this program")]
-    OtherFile,
+    /// The header line is not UTF-8.
+    #[error("the header line is not UTF-8")]
+    HeaderNotUtf8,
+    /// The header line does not have four words.
+    #[error("the header line does not have four words")]
+    MalformedHeader,
+    /// The first word of the header line is not the expected magic word.
+    #[error("the header line does not begin with the expected magic word")]
+    WrongMagic,
     /// The version of the format is not supported.
-    #[error("it has format {found}; this program reads {FORMAT_VERSION}")]
-    OtherFormat {
+    #[error("format {found} is not supported; this program reads format {FORMAT_VERSION}")]
+    UnsupportedVersion {
         /// The version in the file.
         found: String,
     },
-    /// The content does not have the length in the first line.
-    #[error("it holds {found} bytes instead of {expected}")]
+    /// The content does not have the length in the header line.
+    #[error("the content has {found} bytes instead of {expected}")]
     WrongLength {
-        /// The number of bytes after the first line.
+        /// Number of bytes after the header line.
         found: usize,
-        /// The length in the first line.
+        /// Length in the header line.
         expected: String,
     },
-    /// The content does not have the checksum in the first line.
-    #[error("its checksum is wrong")]
+    /// The content does not have the checksum in the header line.
+    #[error("the checksum does not match the content")]
     WrongChecksum,
     /// The content cannot be parsed from, or serialized to, JSON.
     #[error(transparent)]
@@ -67,21 +68,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// The settings of the next start.
+    /// Settings that take effect at the next start.
     pub settings: Option<Settings>,
-    /// The endpoint list in force.
+    /// Endpoint list in force.
     pub list: EndpointList,
-    /// The settings of telemetry.
+    /// Settings of telemetry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub telemetry: Option<Telemetry>,
 }
 
-/// Encodes the file of a snapshot.
+/// Encodes a snapshot as the bytes of its file.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, SnapshotError> {
     encode_file(MAGIC, snapshot)
 }
 
-/// Decodes the file of a snapshot.
+/// Decodes the bytes of a snapshot file.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     decode_file(MAGIC, bytes)
 }
@@ -95,20 +96,22 @@
     Ok(file)
 }
 
-/// Decodes a file that [`encode_file`] encoded, and checks its first line.
+/// Decodes a file that [`encode_file`] encoded, and validates it against its header line.
 pub(crate) fn decode_file<T: DeserializeOwned>(
     expected_magic: &str,
     bytes: &[u8],
 ) -> Result<T, SnapshotError> {
     let line_end = bytes.iter().position(|&byte| byte == b'\n').ok_or(SnapshotError::NoHeader)?;
-    let header = std::str::from_utf8(&bytes[..line_end]).map_err(|_| SnapshotError::HeaderNotText)?;
+    let header = std::str::from_utf8(&bytes[..line_end]).map_err(|_| SnapshotError::HeaderNotUtf8)?;
     let words: Vec<&str> = header.split(' ').collect();
-    let &[magic, version, checksum, length] = words.as_slice() else { return Err(SnapshotError::HeaderCut) };
+    let &[magic, version, checksum, length] = words.as_slice() else {
+        return Err(SnapshotError::MalformedHeader);
+    };
     if magic != expected_magic {
-        return Err(SnapshotError::OtherFile);
+        return Err(SnapshotError::WrongMagic);
     }
     if version != FORMAT_VERSION.to_string() {
-        return Err(SnapshotError::OtherFormat { found: version.to_owned() });
+        return Err(SnapshotError::UnsupportedVersion { found: version.to_owned() });
     }
     let body = &bytes[line_end + 1..];
     if length.parse() != Ok(body.len()) {
@@ -120,12 +123,13 @@
     Ok(serde_json::from_slice(body)?)
 }
 
-/// Replaces the snapshot of a state directory.
+/// Replaces the snapshot of a state directory atomically.
 pub fn save(dir: &Path, snapshot: &Snapshot) -> Result<(), SnapshotError> {
     replace_file(dir, FILE_NAME, &encode(snapshot)?)
 }
 
-/// Replaces a file: writes the new content to another file, syncs it, renames it, and syncs the directory.
+/// Replaces a file atomically: writes and syncs a temporary file, renames it over the old one, and syncs the
+/// directory.
 pub(crate) fn replace_file(dir: &Path, name: &str, bytes: &[u8]) -> Result<(), SnapshotError> {
     let write = || -> io::Result<()> {
         let new_path = dir.join(format!("{name}.new"));
@@ -145,16 +149,17 @@
     None,
     /// A valid snapshot.
     Good(Box<Snapshot>),
-    /// A damaged snapshot, which was moved aside.
+    /// A damaged snapshot, which was renamed.
     Damaged {
         /// What is wrong with it.
         error: SnapshotError,
-        /// Its path now.
+        /// Path that it was renamed to.
         moved_to: PathBuf,
     },
 }
 
-/// Loads the snapshot of a state directory, which is created if it does not exist.
+/// Loads the snapshot of a state directory, which is created if it does not exist. A damaged snapshot is
+/// renamed, so that it can be examined.
 pub fn load(dir: &Path) -> io::Result<LoadedSnapshot> {
     fs::create_dir_all(dir)?;
     let bytes = match fs::read(dir.join(FILE_NAME)) {
@@ -168,7 +173,8 @@
     }
 }
 
-/// Renames a damaged file, so that it is not read again. Returns its new path.
+/// Renames a damaged file to `NAME.damaged-N` with the first free number, so that it is not read again.
+/// Returns its new path.
 pub(crate) fn move_aside(dir: &Path, name: &str) -> io::Result<PathBuf> {
     let path_for = |number: u32| dir.join(format!("{name}.damaged-{number}"));
     let free_number = (1..=u32::MAX).find(|&number| !path_for(number).exists()).unwrap_or(0);
--- a/crates/edge/src/snapshot/tests.rs
+++ b/crates/edge/src/snapshot/tests.rs
@@ -1,10 +1,10 @@
-//! Snapshots: bytes, damage, and files of earlier versions.
+//! Snapshot files: encoding, damaged files, and files of earlier versions.
 
 use super::*;
 use crate::settings::EntryState;
 
-/// The bytes of a snapshot that version 0.1.0 wrote.
-const EARLIER: &str = concat!(
+/// The file of a snapshot that version 0.1.0 wrote.
+const FILE_OF_VERSION_0_1_0: &str = concat!(
     "linnetcart-snapshot 1 86e21d33 1687\n",
     r#"{"settings":{"deployment":"test""#,
     r#","courier":{"me":3,"of":4,"zone":"a"},"zones":["a","b"]"#,
@@ -31,7 +31,7 @@
     r#","collectd":null,"listen":null}}"#,
 );
 
-fn saved() -> Snapshot {
+fn sample_snapshot() -> Snapshot {
     let settings = Settings::parse(crate::settings::tests::sample().to_string().as_bytes()).unwrap();
     let telemetry = Some(Telemetry { interval_s: 5, ..Telemetry::default() });
     Snapshot {
@@ -42,32 +42,32 @@
 }
 
 #[test]
-fn decode_any_truncation_or_flipped_bit_is_an_error() {
-    let good = encode(&saved()).unwrap();
-    assert_eq!(decode(&good).unwrap(), saved());
-    for cut in 0..good.len() {
-        assert!(decode(&good[..cut]).is_err(), "cut at {cut}");
+fn decode_truncated_file_or_flipped_bit_is_an_error() {
+    let good = encode(&sample_snapshot()).unwrap();
+    assert_eq!(decode(&good).unwrap(), sample_snapshot());
+    for length in 0..good.len() {
+        assert!(decode(&good[..length]).is_err(), "truncated to {length} bytes");
     }
-    for at in 0..good.len() {
+    for position in 0..good.len() {
         let mut bad = good.clone();
-        bad[at] ^= 0x10;
-        assert!(decode(&bad).is_err(), "flipped at {at}");
+        bad[position] ^= 0x10;
+        assert!(decode(&bad).is_err(), "flipped at byte {position}");
     }
 }
 
 #[test]
-fn decode_another_format_version_names_it() {
-    let good = String::from_utf8(encode(&saved()).unwrap()).unwrap();
+fn decode_unsupported_format_version_is_an_error_that_names_it() {
+    let good = String::from_utf8(encode(&sample_snapshot()).unwrap()).unwrap();
     let other = good.replacen("snapshot 1 ", "snapshot 2 ", 1);
     assert!(decode(other.as_bytes()).unwrap_err().to_string().contains("format 2"));
 }
 
 #[test]
-fn load_damaged_snapshot_moves_it_aside() {
+fn load_damaged_snapshot_renames_it() {
     let dir = std::env::temp_dir().join(format!("linnetcart-snapshot-{}", std::process::id()));
     assert!(matches!(load(&dir).unwrap(), LoadedSnapshot::None));
-    save(&dir, &saved()).unwrap();
-    assert!(matches!(load(&dir).unwrap(), LoadedSnapshot::Good(s) if *s == saved()));
+    save(&dir, &sample_snapshot()).unwrap();
+    assert!(matches!(load(&dir).unwrap(), LoadedSnapshot::Good(s) if *s == sample_snapshot()));
     for n in 1..=2 {
         fs::write(dir.join(FILE_NAME), b"linnetcart-snapshot 1 0 9\nhalf").unwrap();
         let LoadedSnapshot::Damaged { moved_to, .. } = load(&dir).unwrap() else {
@@ -80,13 +80,13 @@
 }
 
 #[test]
-fn decode_snapshot_of_an_earlier_version_is_read_and_written_back_unchanged() {
-    let snapshot = decode(EARLIER.as_bytes()).expect("it is a good snapshot");
-    let settings = snapshot.settings.as_ref().expect("it holds settings");
+fn decode_snapshot_of_an_earlier_version_encodes_to_the_same_bytes() {
+    let snapshot = decode(FILE_OF_VERSION_0_1_0.as_bytes()).expect("a valid snapshot");
+    let settings = snapshot.settings.as_ref().expect("the snapshot has settings");
     assert_eq!(settings.check(), Ok(()));
     assert_eq!((settings.courier.index, settings.limits.max_in_flight), (3, 100));
     assert_eq!(settings.classes[0].latency_objective_ms, 1000);
     let states: Vec<EntryState> = snapshot.list.entries.values().map(|entry| entry.state).collect();
     assert_eq!((snapshot.list.version, states), (3, vec![EntryState::Ready, EntryState::Draining]));
-    assert_eq!(encode(&snapshot).expect("it can be written"), EARLIER.as_bytes());
+    assert_eq!(encode(&snapshot).expect("encodable"), FILE_OF_VERSION_0_1_0.as_bytes());
 }
