--- a/crates/kafka/src/client.rs
+++ b/crates/kafka/src/client.rs
@@ -5,6 +5,6 @@
 
 pub use request::{api_versions, metadata, produce, ProduceTarget, RequiredAcks};
 pub use response::{
-    answers, read_metadata, read_produce_versions, read_produced, BrokerMetadata, ClusterMetadata,
+    correlation_id, read_metadata, read_produce_versions, read_produced, BrokerMetadata, ClusterMetadata,
     PartitionMetadata, ProduceReply, ProduceVersions, TopicMetadata,
 };
--- a/crates/kafka/src/client/request.rs
+++ b/crates/kafka/src/client/request.rs
@@ -17,7 +17,7 @@
 const SOFTWARE_VERSION: &str = "0.1";
 /// First version of ApiVersions with the software name and version of the client.
 const SOFTWARE_NAME_SINCE: i16 = 3;
-/// First version of Metadata with the flag that allows topic creation; earlier versions always allow it.
+/// First version of Metadata with the flag for automatic topic creation; earlier versions always permit it.
 const TOPIC_CREATION_SINCE: i16 = 4;
 
 /// Encodes a complete request frame with its length prefix.
@@ -46,11 +46,11 @@
 /// Records for one partition of a topic.
 #[derive(Clone, Debug)]
 pub struct ProduceTarget<'a> {
-    /// The topic.
+    /// Name of the topic.
     pub topic: &'a str,
-    /// The partition.
+    /// Partition number.
     pub partition: i32,
-    /// The records.
+    /// The records, which are sent as one batch.
     pub records: &'a [Record],
 }
 
--- a/crates/kafka/src/client/response.rs
+++ b/crates/kafka/src/client/response.rs
@@ -22,7 +22,7 @@
     pub correlation: i32,
     /// The results of the request's partitions.
     pub parts: Vec<PartitionResult>,
-    /// How long the client should send no further requests, in milliseconds.
+    /// Throttle time in milliseconds: how long the client should send no further requests.
     pub throttle_ms: i32,
     /// The load report of the endpoint, if the response carries one.
     pub load: Option<LoadReport>,
@@ -72,7 +72,7 @@
     pub leader: i32,
 }
 
-/// The offer of Produce in an ApiVersions response.
+/// The Produce versions that a server offers in its ApiVersions response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProduceVersions {
     /// Correlation id of the request that the response answers.
@@ -82,7 +82,7 @@
 }
 
 /// Returns the correlation id of the request that a response frame answers.
-pub fn answers(frame: &Bytes) -> Result<i32, Malformed> {
+pub fn correlation_id(frame: &Bytes) -> Result<i32, Malformed> {
     read_correlation(&mut frame.clone())
 }
 
@@ -90,12 +90,13 @@
     frame.try_get_i32().map_err(|_| Malformed("response header"))
 }
 
-/// A response frame without its header.
+/// The body of a response frame, and the correlation id of its header.
 struct ResponseBody {
     correlation: i32,
     bytes: Bytes,
 }
 
+/// Reads the response header, whose layout depends on the API and its version.
 fn read_header(frame: &Bytes, api: ApiKey, version: i16) -> Result<ResponseBody, Malformed> {
     let mut bytes = frame.clone();
     let correlation = read_correlation(&mut bytes)?;
--- a/crates/kafka/src/codes.rs
+++ b/crates/kafka/src/codes.rs
@@ -23,9 +23,9 @@
 pub const MESSAGE_TOO_LARGE: i16 = 10;
 /// The message was rejected. Nothing was persisted, and stock clients retry.
 pub const NOT_ENOUGH_REPLICAS: i16 = 19;
-/// Sent for every Fetch request: records cannot be fetched from this server.
+/// The response to every Fetch request: records cannot be fetched from this server.
 pub const TOPIC_AUTHORIZATION_FAILED: i16 = 29;
-/// The requested `acks` do not allow a final answer.
+/// The requested `acks` is not supported, for example 0, with which the client gets no final answer.
 pub const INVALID_REQUIRED_ACKS: i16 = 21;
 /// The requested version of the API is not offered.
 pub const UNSUPPORTED_VERSION: i16 = 35;
@@ -40,8 +40,8 @@
 /// An endpoint is at its limit; `throttle_time_ms` says how long to wait.
 pub const THROTTLING_QUOTA_EXCEEDED: i16 = 89;
 
-/// Bytes that violate the protocol; the value names the part of the message. The receiver closes the
-/// connection.
+/// The error for bytes that violate the protocol; the value names the malformed part of the message. The
+/// receiver closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed {0}")]
 pub struct Malformed(pub &'static str);
--- a/crates/kafka/src/frame.rs
+++ b/crates/kafka/src/frame.rs
@@ -21,7 +21,7 @@
     },
 }
 
-/// Collects received bytes and splits them into frames of bounded length.
+/// Receive buffer of a connection, which splits the received bytes into frames of bounded length.
 #[derive(Debug)]
 pub struct Frames {
     buffered: BytesMut,
--- a/crates/kafka/src/lib.rs
+++ b/crates/kafka/src/lib.rs
@@ -1,11 +1,11 @@
-//! Framing and the subset of the Kafka protocol that linnetcart speaks, for clients and servers, without I/O.
+//! Framing and the subset of the Kafka protocol that linnetcart uses, for clients and servers, without I/O.
 //!
 //! [`Frames`] splits received bytes into complete frames. [`server`] reads requests and writes responses;
-//! [`client`] writes requests and reads responses. Every count in a frame is checked against the bytes
-//! present ([`shape`]) before memory is allocated for it, so a hostile frame costs no more than its own
-//! length.
+//! [`client`] writes requests and reads responses. Every count in a frame is checked against the remaining
+//! bytes ([`shape`]) before memory is allocated for it, so that the memory for a hostile frame is bounded by
+//! its length.
 //!
-//! The crate owns no connection state and never interprets the contents of a record.
+//! The crate owns no connection state and never interprets the key, value or headers of a record.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
--- a/crates/kafka/src/record.rs
+++ b/crates/kafka/src/record.rs
@@ -9,7 +9,7 @@
     TimestampType, NO_PARTITION_LEADER_EPOCH, NO_PRODUCER_EPOCH, NO_PRODUCER_ID,
 };
 
-/// Approximate memory of a header beside its bytes: a `String` and an optional `Bytes`.
+/// Approximate memory of a header in addition to its bytes: a `String` and an optional `Bytes`.
 const HEADER_OVERHEAD_BYTES: usize = 48;
 
 /// A header of a record.
@@ -37,8 +37,8 @@
     pub value: Option<Bytes>,
     /// The headers in their order.
     pub headers: Vec<RecordHeader>,
-    /// When the client created the record, in milliseconds since 1970 by the client's clock; 0 or less if
-    /// unknown.
+    /// When the client created the record, in milliseconds since the Unix epoch by the client's clock; 0 or
+    /// less if unknown.
     pub timestamp: i64,
 }
 
@@ -72,6 +72,7 @@
     Ok(out.freeze())
 }
 
+/// Converts a record to the type of the protocol library; `index` is its position in the batch.
 fn to_wire(index: usize, record: &Record) -> WireRecord {
     let to_wire_header =
         |header: &RecordHeader| (StrBytes::from_string(header.name.clone()), header.value.clone());
--- a/crates/kafka/src/server/request.rs
+++ b/crates/kafka/src/server/request.rs
@@ -12,7 +12,7 @@
 
 /// Size of the fixed part of a request header: API key, API version and correlation id.
 const FIXED_HEADER_BYTES: usize = 8;
-/// The version of the ApiVersions response if the requested version is newer than the offered ones.
+/// Version of the ApiVersions response to a request in a newer version than the offered ones.
 const FALLBACK_API_VERSIONS: i16 = 0;
 
 /// A request.
@@ -31,16 +31,16 @@
 /// The body of a request, by API.
 #[derive(Debug)]
 pub enum Body {
-    /// A request for the offered versions.
+    /// Asks for the offered APIs and their versions.
     ApiVersions,
-    /// A request for the offered versions, in a version that is not offered itself; the response is in
+    /// Asks for the offered APIs in a version of ApiVersions that is itself not offered; the response is in
     /// version 0.
     ApiVersionsTooNew,
-    /// A request for the description of these topics; `None` for all topics.
+    /// Asks for the partitions of these topics and their leaders; `None` for all topics.
     Metadata(Option<Vec<String>>),
-    /// A request to read records.
+    /// Asks for records of these partitions.
     Fetch(Vec<FetchTopic>),
-    /// A request to accept records.
+    /// Submits records.
     Produce(Produce),
 }
 
@@ -77,7 +77,7 @@
     pub records: Result<Vec<Record>, i16>,
 }
 
-/// Why a request cannot be answered.
+/// Why a request cannot be answered. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The request violates the protocol.
@@ -96,7 +96,7 @@
     },
 }
 
-/// Decodes a request frame. After an error the caller must close the connection.
+/// Decodes a request frame without its length prefix. After an error the caller must close the connection.
 pub fn read(frame: &Bytes) -> Result<Request, RequestError> {
     let mut cursor = shape::Cursor::new(frame);
     let api_code = cursor.i16()?;
--- a/crates/kafka/src/server/response.rs
+++ b/crates/kafka/src/server/response.rs
@@ -26,14 +26,14 @@
 const CLUSTER_ID: &str = "linnetcart";
 /// Leader id of a partition without a leader.
 const NO_LEADER: BrokerId = BrokerId(-1);
-/// Wire values of an unknown epoch, offset or time.
+/// The wire value of an unknown leader epoch, offset or log append time.
 const UNKNOWN_EPOCH: i32 = -1;
 const UNKNOWN_OFFSET: i64 = -1;
 const UNKNOWN_TIME_MS: i64 = -1;
 /// Log start offset of a partition that accepted records.
 const LOG_START_OFFSET: i64 = 0;
 /// First version of a Produce response with the log start offset.
-const LOG_START_SINCE: i16 = 5;
+const LOG_START_OFFSET_SINCE: i16 = 5;
 /// First version of a Produce response with error messages for records and partitions.
 const ERROR_MESSAGES_SINCE: i16 = 8;
 /// First version of a Produce response with tagged fields.
@@ -91,7 +91,7 @@
     encode_frame(ApiKey::Fetch, correlation, FETCH.last, &body)
 }
 
-/// The broker in a Metadata response.
+/// The broker in a Metadata response: the address at which clients reach this courier.
 #[derive(Clone, Debug)]
 pub struct Broker {
     /// Node id of the broker.
@@ -160,7 +160,7 @@
         .with_isr_nodes(replicas)
 }
 
-/// A message about one record of a batch whose records have different outcomes or are invalid.
+/// The outcome of one record of a batch whose records have different outcomes, or one of which is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordError {
     /// Index of the record in its batch.
@@ -180,7 +180,7 @@
     pub code: i16,
     /// Offset of the first record; -1 if no record was accepted.
     pub offset: i64,
-    /// Messages about single records.
+    /// Outcomes of single records if they differ, and reasons for invalid ones.
     pub record_errors: Vec<RecordError>,
     /// Error message of the partition.
     pub text: Option<String>,
@@ -226,7 +226,7 @@
         .with_error_code(result.code)
         .with_base_offset(result.offset)
         .with_log_append_time_ms(UNKNOWN_TIME_MS);
-    if version >= LOG_START_SINCE {
+    if version >= LOG_START_OFFSET_SINCE {
         let accepted = result.code == codes::NONE;
         let log_start = if accepted { LOG_START_OFFSET } else { UNKNOWN_OFFSET };
         partition = partition.with_log_start_offset(log_start);
--- a/crates/kafka/src/shape.rs
+++ b/crates/kafka/src/shape.rs
@@ -1,4 +1,4 @@
-//! Validation of the lengths and counts of a message against the bytes present, without allocation.
+//! Validation of the lengths and counts of a message against its remaining bytes, without allocation.
 //!
 //! The decoder of the protocol library reserves memory for as many elements as a count claims. The functions
 //! here walk over the message first and make sure that each claimed element has at least one byte. They never
@@ -17,12 +17,12 @@
 
 use crate::codes::Malformed;
 
-/// First flexible version of each API, with compact lengths and tagged fields.
+/// First flexible version of each API (KIP-482), with compact lengths and tagged fields.
 const PRODUCE_FLEXIBLE_SINCE: i16 = 9;
 const METADATA_FLEXIBLE_SINCE: i16 = 9;
 const API_VERSIONS_FLEXIBLE_SINCE: i16 = 3;
-/// Size of a topic id.
+/// Size of a topic id, which is a UUID.
 const UUID_BYTES: usize = 16;
 
-/// The result of walking over a part of a message: an error if its lengths and counts are impossible.
+/// The result of walking over a part of a message: an error if a length or count exceeds the remaining bytes.
 type Walk = Result<(), Malformed>;
--- a/crates/kafka/src/shape/batch.rs
+++ b/crates/kafka/src/shape/batch.rs
@@ -8,8 +8,9 @@
 /// The codec of an uncompressed batch.
 pub(crate) const NO_COMPRESSION: u8 = 0;
 
-/// Size of the base offset and the length field of a batch, which the length field does not count.
-const LENGTH_END: usize = 12;
+/// Size of the base offset (8 bytes) and the length field (4 bytes) of a batch, which the length field does
+/// not count.
+const UNCOUNTED_PREFIX_BYTES: usize = 12;
 /// The attribute bits that hold the codec of a batch.
 const CODEC_MASK: i16 = 0x07;
 /// The attribute bits of a transactional batch and of a control batch.
@@ -20,7 +21,7 @@
 pub struct BatchHead {
     /// Size of the complete batch in bytes.
     pub size: usize,
-    /// Batch format.
+    /// Batch format, the magic byte. Other fields are not read if it is not 2.
     pub magic: u8,
     /// Compression codec of the records; 0 for none.
     pub codec: u8,
@@ -43,7 +44,7 @@
     let mut cursor = Cursor::new(bytes);
     let base_offset = cursor.i64()?;
     let length = usize::try_from(cursor.i32()?).map_err(|_| Malformed("batch length"))?;
-    let size = LENGTH_END + length;
+    let size = UNCOUNTED_PREFIX_BYTES + length;
     let mut cursor = Cursor::new(cursor.take(length)?);
     let _leader_epoch = cursor.i32()?;
     let [magic] = cursor.array()?;
@@ -79,6 +80,7 @@
     cursor.end()
 }
 
+/// Checks a record. Its timestamp and offset must not overflow when the base values are added.
 fn walk_record(bytes: &[u8], base: BaseValues) -> Walk {
     let mut cursor = Cursor::new(bytes);
     let [_attributes] = cursor.array()?;
--- a/crates/kafka/src/shape/cursor.rs
+++ b/crates/kafka/src/shape/cursor.rs
@@ -19,7 +19,7 @@
     Long,
 }
 
-/// A cursor over bytes; each method checks the next field and moves past it.
+/// A cursor over the bytes of a message. Each method checks the next field and moves past it.
 pub struct Cursor<'a> {
     unread: &'a [u8],
     /// Whether the version has compact lengths and tagged fields.
@@ -77,12 +77,13 @@
         Ok(i64::from_be_bytes(self.array()?))
     }
 
-    /// Reads a variable-length unsigned number of at most 32 bits.
+    /// Reads a variable-length unsigned number (LEB128) of at most 32 bits.
     pub fn uvarint(&mut self) -> Result<u32, Malformed> {
         let long = self.uvarlong()?;
         u32::try_from(long).map_err(|_| Malformed("varint"))
     }
 
+    /// Reads a variable-length unsigned number (LEB128) of at most 64 bits.
     fn uvarlong(&mut self) -> Result<u64, Malformed> {
         let mut value = 0u64;
         for shift in (0..u64::BITS).step_by(VARINT_BITS_PER_BYTE) {
@@ -187,12 +188,12 @@
         Ok(())
     }
 
-    /// Checks that no bytes are left over.
+    /// Checks that there are no trailing bytes.
     pub(super) fn end(&self) -> Walk {
         if self.unread.is_empty() {
             Ok(())
         } else {
-            Err(Malformed("end: bytes are left over"))
+            Err(Malformed("message: trailing bytes"))
         }
     }
 }
--- a/crates/kafka/src/versions.rs
+++ b/crates/kafka/src/versions.rs
@@ -22,8 +22,9 @@
 pub const PRODUCE: VersionRange = VersionRange { first: 3, last: 12 };
 /// The offered versions of Metadata.
 pub const METADATA: VersionRange = VersionRange { first: 0, last: 12 };
-/// The only offered version of Fetch. librdkafka sends record batches only to brokers that offer it. Every
-/// Fetch request is answered with an error, because the server stores no records.
+/// The only offered version of Fetch. It is offered because librdkafka sends record batches (magic 2) only to
+/// brokers that offer it. Every Fetch request is answered with an error, because the server stores no
+/// records.
 pub const FETCH: VersionRange = VersionRange { first: 4, last: 4 };
 /// The offered versions of ApiVersions.
 pub const API_VERSIONS: VersionRange = VersionRange { first: 0, last: 3 };
