--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -34,7 +34,7 @@
     pub has_state_dir: bool,
     /// Why files of the state directory could not be restored, for the status page; `None` if all could.
     pub state_error: Option<String>,
-    /// Figures of the process for the status page, such as its uptime, by their JSON keys.
+    /// Values of the process for the status page, such as its uptime, by their JSON keys.
     pub process_status: serde_json::Map<String, serde_json::Value>,
 }
 
--- a/crates/edge/src/settings/validation.rs
+++ b/crates/edge/src/settings/validation.rs
@@ -9,6 +9,7 @@
 /// 64-bit integer.
 const MAX_DURATION_MS: u64 = 7 * 24 * 3600 * 1000;
 const MAX_NAME_BYTES: usize = 200;
+/// The decision library numbers classes with 8 bits, so 256 is the most that could be allowed.
 const MAX_CLASSES: u64 = 200;
 /// The decision library numbers zones and kinds with 8 bits.
 const MAX_ZONES: u64 = 255;
--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -151,7 +151,7 @@
     Ok(net)
 }
 
-/// Prints the bound addresses as one line of JSON on standard output, for whoever started the process.
+/// Prints the bound addresses as one line of JSON on standard output, for the parent process.
 fn print_addresses(kafka: SocketAddr, control: SocketAddr) -> anyhow::Result<()> {
     let addresses = json!({"kafka": kafka.to_string(), "control": control.to_string()});
     let mut stdout = std::io::stdout();
--- a/crates/edge/src/shell/events.rs
+++ b/crates/edge/src/shell/events.rs
@@ -171,16 +171,16 @@
         reply
     }
 
-    /// Returns the figures of the process for the status page, by their JSON keys.
+    /// Returns the values of the process for the status page, by their JSON keys.
     fn process_status(&self) -> serde_json::Map<String, serde_json::Value> {
         let telemetry = self.reporting.as_ref().map(|reporting| reporting.status(self.now()));
-        let figures = [
+        let values = [
             ("uptime_s", json!(self.started_at.elapsed().as_secs_f64())),
             ("version", json!(env!("CARGO_PKG_VERSION"))),
             ("connections", json!(self.net.connections())),
             ("logs_kept_back", json!(self.log_limiter.suppressed())),
             ("telemetry", json!(telemetry)),
         ];
-        figures.into_iter().map(|(name, value)| (name.to_owned(), value)).collect()
+        values.into_iter().map(|(name, value)| (name.to_owned(), value)).collect()
     }
 }
