--- a/crates/edge/src/snapshot.rs
+++ b/crates/edge/src/snapshot.rs
@@ -19,29 +19,29 @@
 const FORMAT_VERSION: u32 = 1;
 const FILE_NAME: &str = "snapshot";
 
-/// Why a file cannot be read or written.
+/// Why a file cannot be read or written. The text is part of `snapshot_trouble` in `GET /status`.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// The header line is not terminated.
-    #[error("the header line is missing or truncated")]
+    #[error("it has no first line")]
     NoHeader,
     /// The header line is not UTF-8.
-    #[error("the header line is not UTF-8")]
+    #[error("its first line is no text")]
     HeaderNotUtf8,
     /// The header line does not have four words.
-    #[error("the header line does not have four words")]
+    #[error("its first line is cut")]
     MalformedHeader,
     /// The first word of the header line is not the expected magic word.
-    #[error("the header line does not begin with the expected magic word")]
+    #[error("it is no snapshot of this program")]
     WrongMagic,
     /// The version of the format is not supported.
-    #[error("format {found} is not supported; this program reads format {FORMAT_VERSION}")]
+    #[error("it has format {found}; this program reads {FORMAT_VERSION}")]
     UnsupportedVersion {
         /// The version in the file.
         found: String,
     },
     /// The content does not have the length in the header line.
-    #[error("the content has {found} bytes instead of {expected}")]
+    #[error("it holds {found} bytes instead of {expected}")]
     WrongLength {
         /// Number of bytes after the header line.
         found: usize,
@@ -49,7 +49,7 @@
         expected: String,
     },
     /// The content does not have the checksum in the header line.
-    #[error("the checksum does not match the content")]
+    #[error("its checksum is wrong")]
     WrongChecksum,
     /// The content cannot be parsed from, or serialized to, JSON.
     #[error(transparent)]
--- a/crates/telemetry/src/collectd.rs
+++ b/crates/telemetry/src/collectd.rs
@@ -113,35 +113,35 @@
     },
 }
 
-/// Why a packet was rejected.
+/// Why a packet was rejected. The text is `last_bad` in `GET /status`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
     /// A part is truncated, or its length is invalid.
-    #[error("invalid length of the part at byte {offset}")]
+    #[error("at byte {offset}: a part's length cannot be")]
     InvalidLength {
         /// Offset of the part in the packet.
         offset: usize,
     },
     /// The content of a part is invalid.
-    #[error("invalid content of the part at byte {offset}")]
+    #[error("at byte {offset}: what the part holds cannot be")]
     InvalidContent {
         /// Offset of the part in the packet.
         offset: usize,
     },
     /// A signature or an encrypted part is at a position where it is not allowed.
-    #[error("signature or encrypted part not allowed at byte {offset}")]
+    #[error("at byte {offset}: parts are nested wrongly")]
     MisplacedSecurity {
         /// Offset of the part in the packet.
         offset: usize,
     },
     /// The signature or the checksum does not match.
-    #[error("wrong signature, checksum or key of user `{user}`")]
+    #[error("signature, sum or key of user `{user}` is wrong")]
     NotAuthentic {
         /// The user named in the packet.
         user: String,
     },
     /// No key is configured for the user.
-    #[error("no key configured for user `{user}`")]
+    #[error("no key is set for user `{user}`")]
     UnknownUser {
         /// The user named in the packet.
         user: String,
