--- a/crates/platform/src/core/connection_pool.rs
+++ b/crates/platform/src/core/connection_pool.rs
@@ -41,7 +41,7 @@
     Abandoned,
 }
 
-/// Why a connection is closed.
+/// Why a connection is closed. Written to the log by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
     /// The connect failed.
@@ -49,7 +49,7 @@
     /// The endpoint closed it or the operating system reported an error.
     Disconnected,
     /// The time limit of its state passed.
-    TimedOut,
+    Overdue,
     /// Its attempt was cancelled before the request was queued.
     CancelledUnsent,
     /// The decision library requested that idle connections to the endpoint be closed.
@@ -57,7 +57,7 @@
     /// The pool was full and a new connection was needed.
     Evicted,
     /// After its idle time, it is expected to lose more calls than a new connection.
-    ReuseRejected,
+    Untrusted,
     /// Bytes arrived that belong to no response.
     UnexpectedBytes,
     /// The response is malformed.
@@ -260,7 +260,7 @@
         }
         let mut finished = Vec::new();
         for (id, outcome) in timed_out {
-            if let Some(attempt) = self.close(id, CloseReason::TimedOut) {
+            if let Some(attempt) = self.close(id, CloseReason::Overdue) {
                 finished.push(FinishedAttempt::new(attempt, outcome));
             }
         }
--- a/crates/platform/src/core/connection_pool/acquire.rs
+++ b/crates/platform/src/core/connection_pool/acquire.rs
@@ -72,7 +72,7 @@
         let IdleConnection { idle_since, id } = self.last_used_idle(endpoint, address, now)?;
         let idle_time = now - idle_since;
         if !self.reuse_policy.may_reuse(now, idle_time) {
-            self.close(id, CloseReason::ReuseRejected);
+            self.close(id, CloseReason::Untrusted);
             return None;
         }
         let connection = self.connections.get_mut(&id)?;
