--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -18,7 +18,7 @@
 use anyhow::Context;
 use calloop::signals::Signal;
 use linnetcart::Time;
-use linnetcart_net::{retry_momentary, Event, Net, Token};
+use linnetcart_net::{retry_transient, Event, Net, Token};
 use log_limit::LogLimiter;
 use serde_json::json;
 use startup::{listen, load_snapshot, start_options};
@@ -113,7 +113,7 @@
 
 /// Runs the program until it has drained after a signal, or until a second signal.
 pub fn run(options: Options) -> anyhow::Result<Exit> {
-    let mut net = retry_momentary(|| create_event_loop(options.max_connections))
+    let mut net = retry_transient(|| create_event_loop(options.max_connections))
         .context("the event loop cannot be created")?;
     let kafka = listen(&mut net, options.kafka, "--kafka")?;
     let control = listen(&mut net, options.control, "--control")?;
--- a/crates/edge/src/shell/startup.rs
+++ b/crates/edge/src/shell/startup.rs
@@ -6,13 +6,13 @@
 use crate::snapshot::{self, LoadedSnapshot};
 use anyhow::Context;
 use linnetcart_kafka::server::Broker;
-use linnetcart_net::{retry_momentary, BoundSocket, Net};
+use linnetcart_net::{retry_transient, BoundSocket, Net};
 use std::net::SocketAddr;
 use std::path::Path;
 
 /// Listens on an address. The error names the command-line option that sets it.
 pub(super) fn listen(net: &mut Net, address: SocketAddr, option: &str) -> anyhow::Result<BoundSocket> {
-    retry_momentary(|| net.listen(address))
+    retry_transient(|| net.listen(address))
         .with_context(|| format!("cannot listen on {address}; choose another with {option}"))
 }
 
@@ -35,7 +35,7 @@
 /// Restores the program from the snapshot of a state directory, if there is one. A damaged snapshot is
 /// renamed and reported.
 pub(super) fn load_snapshot(program: &mut Program, dir: &Path) -> anyhow::Result<()> {
-    let loaded = retry_momentary(|| snapshot::load(dir))
+    let loaded = retry_transient(|| snapshot::load(dir))
         .with_context(|| format!("{} cannot be used; see --state-dir", dir.display()))?;
     match loaded {
         LoadedSnapshot::None => {}
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -24,7 +24,7 @@
 pub use event::Event;
 pub use net::{Net, ReadLimits};
 pub use reserved::Reserved;
-pub use retry::{retry_momentary, RETRY_PAUSE};
+pub use retry::{retry_transient, RETRY_PAUSE};
 pub use socket::BoundSocket;
 pub use system_error::{is_transient, ConnectFailure};
 
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -9,7 +9,7 @@
 
 /// Calls `attempt` until it succeeds or fails with an error that is not transient ([`is_transient`]), with
 /// [`RETRY_PAUSE`] between the calls. Logs the first failure only.
-pub fn retry_momentary<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut is_logged = false;
     loop {
         match attempt() {
--- a/crates/platform/src/shell/startup.rs
+++ b/crates/platform/src/shell/startup.rs
@@ -17,7 +17,7 @@
 use anyhow::Context;
 use calloop::signals::Signal;
 use linnetcart_journal::{JournalDirectory, JournalError, OpenedJournal};
-use linnetcart_net::{is_transient, retry_momentary, Net, ReadLimits};
+use linnetcart_net::{is_transient, retry_transient, Net, ReadLimits};
 use std::collections::BTreeSet;
 use std::io;
 use std::path::Path;
@@ -98,7 +98,7 @@
         net.watch_signals(&watched)?;
         Ok(net)
     };
-    retry_momentary(create).context("the event loop cannot be created")
+    retry_transient(create).context("the event loop cannot be created")
 }
 
 fn configure_limits(net: &mut Net, config: &Config) {
