--- a/crates/testbed/src/courier_process.rs
+++ b/crates/testbed/src/courier_process.rs
@@ -10,45 +10,48 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The environment variable that tells a child process which core to stay on.
+/// The environment variable with the number of the CPU core that a child process pins itself to, by its CPU
+/// affinity mask.
 pub const CORE_VARIABLE: &str = "LINNETCART_TESTBED_CORE";
-const HTTP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Read timeout of a connection to a control interface.
+const HTTP_READ_TIMEOUT: Duration = Duration::from_secs(10);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const STATUS_OK: u16 = 200;
 
-/// A running courier; dropping it kills it.
+/// A child process that is a courier or a relay. Dropping it kills the process with SIGKILL and reaps it.
 #[derive(Debug)]
 pub struct CourierProcess {
     child: Child,
-    /// The address on which it accepts messages.
+    /// The address on which it accepts messages, over the Kafka protocol.
     pub kafka: SocketAddr,
-    /// The address of its control interface.
+    /// The address of its HTTP control interface; a relay has none and gives its Kafka address.
     pub control: SocketAddr,
 }
 
 /// How a courier is started.
 #[derive(Clone, Debug)]
 pub struct CourierOptions<'a> {
-    /// The program whose `edge` command is a courier.
+    /// The program whose `edge` command runs a courier.
     pub program: &'a Path,
     /// The folder for its state and log.
     pub dir: &'a Path,
-    /// The seed of its decisions.
+    /// The seed of the random numbers in its decisions.
     pub seed: u64,
-    /// The name of its decision policy: `library`, or a baseline.
+    /// The name of its decision policy: `library` for the decision library, the name of a baseline policy, or
+    /// [`POLICY_PREFIX`](crate::decision_record::POLICY_PREFIX) and a folder for decision records.
     pub policy: &'a str,
-    /// How long it works on messages in flight after SIGTERM.
+    /// How long it continues to deliver the messages in flight after SIGTERM, before it exits.
     pub drain_timeout: Duration,
 }
 
-/// The line of JSON that a process prints when it listens.
+/// The line of JSON that a courier or relay prints on its standard output once it listens.
 struct ReadyLine {
     kafka: SocketAddr,
     control: SocketAddr,
 }
 
 impl ReadyLine {
-    /// Parses the line; `None` if it has no valid addresses.
+    /// Parses the line; `None` if it is not JSON or lacks a valid address.
     fn parse(line: &str) -> Option<ReadyLine> {
         let document: Value = serde_json::from_str(line).ok()?;
         let address = |name: &str| document.get(name)?.as_str()?.parse().ok();
@@ -57,19 +60,19 @@
 }
 
 impl CourierProcess {
-    /// Starts a courier and waits until it listens.
+    /// Starts a courier and waits for its ready line.
     pub fn start(options: &CourierOptions) -> anyhow::Result<CourierProcess> {
         CourierProcess::spawn(options.command(), options.dir)
     }
 
-    /// Starts a courier that is pinned to one core.
+    /// Starts a courier that is pinned to one CPU core, and waits for its ready line.
     pub fn start_pinned(options: &CourierOptions, core: usize) -> anyhow::Result<CourierProcess> {
         let mut command = options.command();
         command.env(CORE_VARIABLE, core.to_string());
         CourierProcess::spawn(command, options.dir)
     }
 
-    /// Starts a relay to these endpoints that is pinned to one core.
+    /// Starts a relay to these endpoints that is pinned to one CPU core, and waits for its ready line.
     pub fn start_relay_pinned(
         program: &Path,
         dir: &Path,
@@ -81,29 +84,31 @@
         CourierProcess::spawn(command, dir)
     }
 
-    /// Starts the process with its log in the folder, and waits for its ready line.
+    /// Starts the process with its standard error appended to the file `log` in the folder, and waits for its
+    /// ready line.
     fn spawn(mut command: Command, dir: &Path) -> anyhow::Result<CourierProcess> {
         std::fs::create_dir_all(dir)?;
         let log_path = dir.join("log");
         let log = File::options().create(true).append(true).open(&log_path)?;
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log);
-        let mut child = command.spawn().context("a courier could not be started")?;
-        let stdout = child.stdout.take().ok_or_else(|| anyhow!("no standard output"))?;
+        let mut child = command.spawn().context("cannot start the process of a courier or relay")?;
+        let stdout =
+            child.stdout.take().ok_or_else(|| anyhow!("the child process has no standard output"))?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line)?;
         let Some(ReadyLine { kafka, control }) = ReadyLine::parse(&line) else {
             let _ = child.kill();
             let _ = child.wait();
             let log = std::fs::read_to_string(&log_path).unwrap_or_default();
-            bail!("the courier did not come up; its log says: {}", log.trim());
+            bail!("the process ended or printed no valid ready line; its log: {}", log.trim());
         };
         Ok(CourierProcess { child, kafka, control })
     }
 
-    /// Puts a document to the control interface.
+    /// Sends a JSON document to the control interface with an HTTP PUT.
     ///
     /// # Errors
-    /// Fails if the courier does not answer, or with another status than 200.
+    /// Fails if there is no reply or its status is not 200.
     pub fn put(&self, path: &str, body: &Value) -> anyhow::Result<()> {
         let reply = http_request(self.control, "PUT", path, &body.to_string())?;
         if reply.status != STATUS_OK {
@@ -138,8 +143,8 @@
         self.signal(Signal::TERM);
     }
 
-    /// Waits for the end of the process and returns its exit code. Returns `None` if it has not ended within
-    /// the timeout or was ended by a signal.
+    /// Waits until the process exits and returns its exit code. Returns `None` if it is still running after
+    /// the timeout or was killed by a signal.
     pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
         let wait_until = Instant::now() + timeout;
         loop {
@@ -174,7 +179,7 @@
     }
 }
 
-/// A reply of a control interface.
+/// An HTTP reply of a control interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpReply {
     /// The status code.
@@ -183,13 +188,14 @@
     pub body: String,
 }
 
-/// Sends a request to a control interface on a connection of its own and reads the reply.
+/// Sends an HTTP request to a control interface on a new connection and reads the reply until the connection
+/// is closed.
 ///
 /// # Errors
-/// Fails if the connection fails, nothing arrives for ten seconds, or the reply has no status.
+/// Fails if the connection fails, nothing arrives for ten seconds, or the reply has no status code.
 pub fn http_request(address: SocketAddr, method: &str, path: &str, body: &str) -> anyhow::Result<HttpReply> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(HTTP_TIMEOUT))?;
+    stream.set_read_timeout(Some(HTTP_READ_TIMEOUT))?;
     let length = body.len();
     let head = format!("{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n");
     stream.write_all(head.as_bytes())?;
@@ -197,7 +203,8 @@
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     let status_field = text.split(' ').nth(1);
-    let status = status_field.and_then(|status| status.parse().ok()).context("an answer without a status")?;
+    let status =
+        status_field.and_then(|status| status.parse().ok()).context("HTTP reply without a status code")?;
     let body = text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default();
     Ok(HttpReply { status, body })
 }
--- a/crates/testbed/src/message_receivers.rs
+++ b/crates/testbed/src/message_receivers.rs
@@ -1,7 +1,8 @@
-//! Endpoints for measurements and tests that serve every message at once, or never answer.
+//! Stub endpoints for measurements and tests: they acknowledge every Produce request at once, or never
+//! answer.
 //!
-//! They accept any Produce request and read no record. How real endpoints behave is simulated elsewhere, by
-//! the scenario runner.
+//! They do not evaluate the records. Endpoints with service times, limits and faults are simulated by
+//! [`ScenarioRunner`](linnetcart_scenario::runner::ScenarioRunner).
 
 use crate::protocol::{MAX_CONNECTIONS, MAX_FRAME_BYTES};
 use anyhow::Context;
@@ -16,25 +17,26 @@
 use std::time::Duration;
 
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum wait of one poll, and so the delay until the thread notices that it is to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Numbers of endpoints by their behaviour.
+/// How many endpoints to start of each behaviour.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiverCounts {
-    /// Endpoints that read requests and never answer.
+    /// Endpoints that read Produce requests and never answer them.
     pub silent: usize,
-    /// Endpoints that serve every message at once.
+    /// Endpoints that acknowledge every Produce request at once.
     pub serving: usize,
 }
 
 impl ReceiverCounts {
-    /// Endpoints that all serve.
+    /// This many serving endpoints and no silent ones.
     pub fn serving(serving: usize) -> ReceiverCounts {
         ReceiverCounts { silent: 0, serving }
     }
 }
 
-/// Endpoints on a thread of their own. Dropping them stops the thread.
+/// Stub endpoints, which run on one thread of their own. Dropping them stops the thread.
 #[derive(Debug)]
 pub struct MessageReceivers {
     /// The address of each endpoint; the silent ones come first.
@@ -58,7 +60,7 @@
             receivers.run(&stop_flag);
         });
         let addresses =
-            address_receiver.recv_timeout(STARTUP_TIMEOUT).context("endpoints did not come up")?;
+            address_receiver.recv_timeout(STARTUP_TIMEOUT).context("endpoints do not listen after 10 s")?;
         Ok(MessageReceivers { addresses, stop, thread: Some(thread) })
     }
 }
@@ -72,7 +74,7 @@
     }
 }
 
-/// Whether an endpoint answers the messages that it receives.
+/// Whether an endpoint answers Produce requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
     Serves,
@@ -87,18 +89,20 @@
 
 struct Connection {
     frames: Frames,
+    /// The behaviour of the endpoint that accepted the connection.
     behaviour: Behaviour,
 }
 
 /// The event loop of all endpoints.
 struct ReceiverLoop {
     net: Net,
-    /// In the order of the endpoints.
+    /// In the order of [`MessageReceivers::addresses`].
     listeners: Vec<Listener>,
     connections: BTreeMap<Token, Connection>,
 }
 
 impl ReceiverLoop {
+    /// Binds a loopback port for each endpoint; `None` if one cannot be bound.
     fn listen(counts: ReceiverCounts) -> Option<ReceiverLoop> {
         let mut net = Net::new(MAX_CONNECTIONS).ok()?;
         let mut listeners = Vec::new();
@@ -114,6 +118,7 @@
         self.listeners.iter().map(|listener| listener.address).collect()
     }
 
+    /// Serves connections until `stop` is set.
     fn run(&mut self, stop: &AtomicBool) {
         let mut events = Vec::new();
         while !stop.load(Ordering::Relaxed) {
@@ -160,7 +165,8 @@
     }
 }
 
-/// Returns the response to a request, or `None` if the endpoint does not answer it.
+/// Returns the response to a request, or `None` if the endpoint does not answer it. Every request that is not
+/// a Produce request is answered as an ApiVersions request, the only other one that couriers send.
 fn respond(request: Request, behaviour: Behaviour) -> Option<bytes::Bytes> {
     let Request { correlation, version, body, .. } = request;
     match body {
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,9 +1,9 @@
-//! A relay that decides nothing, on the same event loop and codec as the edge: the cost of moving messages
-//! alone.
+//! A proxy without a decision policy, on the same event loop and Kafka codec as the edge. Its CPU time per
+//! message is the baseline for the edge's: the cost of forwarding alone.
 //!
-//! A request of one record for a partition becomes one call to the endpoint of that partition, on a
-//! connection that carries nothing else until its reply is forwarded to the client. The relay has no retries,
-//! limits or timeouts.
+//! A Produce request for one partition, the only kind that the measuring clients send, becomes one call to
+//! the endpoint of that partition. A connection to an endpoint carries one call at a time and returns to a
+//! pool once the reply is forwarded to the client. The relay has no retries, limits or timeouts of its own.
 
 use crate::protocol::{ALL_REPLICAS, MAX_CONNECTIONS, MAX_FRAME_BYTES, PRODUCE_VERSION};
 use linnetcart_kafka::server::{self, Body, Broker, Request, Topic};
@@ -15,13 +15,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Maximum wait of one poll.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The `timeout_ms` field of the Produce requests to endpoints.
 const PRODUCE_TIMEOUT_MS: i32 = 1000;
 
-/// A client's request that waits for the reply of an endpoint.
+/// A client's Produce request whose call is in flight.
 struct PendingRequest {
+    /// The connection of the client.
     client: Token,
+    /// The correlation id of the client's request.
     correlation: i32,
+    /// The API version of the client's request.
     version: i16,
 }
 
@@ -36,16 +41,17 @@
     listener: Token,
     endpoints: &'a [SocketAddr],
     connections: BTreeMap<Token, Connection>,
-    /// Idle connections to each endpoint.
+    /// The pool of idle connections to each endpoint, by index in `endpoints`.
     idle: Vec<Vec<Token>>,
+    /// The correlation id of the last call to an endpoint.
     last_correlation: i32,
 }
 
-/// Relays between clients and these endpoints, by partition, until the process is killed. Prints a ready line
-/// as a courier does.
+/// Prints a ready line with the address that clients connect to, as a courier does, and then forwards their
+/// messages until the process is killed. Partition p belongs to endpoint p modulo the number of endpoints.
 ///
 /// # Errors
-/// Fails if it cannot listen, or an endpoint sends a malformed reply.
+/// Fails if it cannot listen, a call cannot be encoded, or an endpoint sends a malformed reply.
 pub fn run(endpoints: &[SocketAddr]) -> anyhow::Result<()> {
     let mut net = Net::new(MAX_CONNECTIONS)?;
     let listener = net.listen("127.0.0.1:0".parse()?)?;
@@ -88,6 +94,7 @@
         Ok(())
     }
 
+    /// Forgets a connection that is closed.
     fn remove(&mut self, token: Token) {
         self.connections.remove(&token);
         for idle in &mut self.idle {
@@ -109,7 +116,7 @@
         }
     }
 
-    /// Serves the requests that are complete.
+    /// Serves the complete requests among the bytes that a client has sent.
     fn receive_from_client(&mut self, token: Token) -> anyhow::Result<()> {
         let Some(Connection::Client { frames }) = self.connections.get_mut(&token) else { return Ok(()) };
         let mut requests = Vec::new();
@@ -122,7 +129,7 @@
         Ok(())
     }
 
-    /// Forwards the replies that are complete, after each of which the connection is idle.
+    /// Forwards each complete reply of an endpoint to its client and returns the connection to the pool.
     fn receive_from_endpoint(&mut self, token: Token) -> anyhow::Result<()> {
         let Some(Connection::Endpoint { endpoint, frames, pending }) = self.connections.get_mut(&token)
         else {
@@ -139,6 +146,7 @@
         Ok(())
     }
 
+    /// Forwards a Produce request; answers Metadata and ApiVersions requests itself.
     fn serve(&mut self, client: Token, request: Request) -> anyhow::Result<()> {
         let Request { correlation, version, body, .. } = request;
         match body {
@@ -163,7 +171,7 @@
         Ok(())
     }
 
-    /// Sends a call to the endpoint of the partition, on an idle connection or a new one.
+    /// Sends a call to the endpoint of the partition, on an idle connection from the pool or a new one.
     fn forward(&mut self, request: PendingRequest, target: client::ProduceTarget) -> anyhow::Result<()> {
         let endpoint = target.partition as usize % self.endpoints.len();
         self.last_correlation = self.last_correlation % i32::MAX + 1;
--- a/crates/testbed/src/report_cost.rs
+++ b/crates/testbed/src/report_cost.rs
@@ -1,5 +1,6 @@
-//! The cost of reporting: the telemetry alone, in virtual time, over numbers of destinations. The cost of
-//! messages of an edge with and without reports is a case of [`crate::throughput_baseline`].
+//! The cost of reporting, measured on [`Telemetry`] alone for varying numbers of destinations. The
+//! telemetry's clock is virtual; the time that its calls take is real. What reports cost the messages of an
+//! edge is a case of [`crate::throughput_baseline`].
 
 use crate::statistics::{median, round};
 use linnetcart::{AttemptOutcome, Class, Idempotency};
@@ -15,82 +16,87 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
+/// One second in nanoseconds, the unit of the telemetry's clock.
 const SECOND: u64 = 1_000_000_000;
 /// Time between reports, in nanoseconds.
-const INTERVAL: u64 = 10 * SECOND;
+const REPORT_INTERVAL: u64 = 10 * SECOND;
+/// Number of classes; the class of each message is drawn uniformly.
 const CLASSES: u8 = 10;
 /// Numbers of destinations that are measured.
-const DESTINATIONS: [u32; 3] = [10, 500, 5000];
-/// Number of messages in an interval, for any number of destinations.
-const MESSAGES: u32 = 20_000;
-/// Number of messages in one iteration of a courier's event loop.
+const DESTINATION_COUNTS: [u32; 3] = [10, 500, 5000];
+/// Number of messages in a report interval, for any number of destinations.
+const MESSAGES_PER_INTERVAL: u32 = 20_000;
+/// Number of messages whose delivery events are recorded in one iteration of the event loop.
 const MESSAGES_PER_ITERATION: u32 = 10;
-/// Maximum number of slices in which a report is written.
+/// Maximum number of slices of a report; each is one iteration of the event loop.
 const MAX_SLICES: u64 = 10_000;
-/// Minimum number of slices, since the first ones may have nothing to write yet.
+/// Minimum number of slices of a report: the telemetry may be idle in the first ones, before it has anything
+/// to send.
 const MIN_SLICES: u64 = 3;
 
-/// A telemetry instance under load.
-struct Load {
+/// A telemetry instance, and the random source of the messages that are recorded in it.
+struct TelemetryBench {
     telemetry: Telemetry,
     destinations: u32,
     rng: ChaCha8Rng,
 }
 
-/// The cost of the messages of one interval.
+/// The cost of recording the messages of one report interval.
 #[derive(Default)]
 struct IntervalCost {
+    /// Elapsed time of the telemetry's calls, in seconds.
     seconds: f64,
+    /// Bytes appended to the counter log.
     log_bytes: usize,
 }
 
-/// The cost and size of the report of one interval.
+/// The cost and size of one report.
 #[derive(Default)]
 struct ReportCost {
-    /// CPU time of all slices.
+    /// Elapsed time of all slices, in milliseconds.
     total_ms: f64,
-    /// CPU time of the longest slice.
+    /// Elapsed time of the longest slice, in milliseconds.
     longest_slice_ms: f64,
     points: usize,
     graphite_bytes: usize,
     collectd_bytes: usize,
 }
 
-/// The cost of an interval and its report.
-struct Turn {
+/// The cost of one report interval and of the report at its end.
+struct Round {
     interval: IntervalCost,
     report: ReportCost,
 }
 
-/// Measures the cost of a message's delivery events and of a report, for each form and number of
-/// destinations. Returns medians over the turns as JSON.
-pub fn run(turns: usize) -> Value {
+/// Measures the time to record a message's delivery events and to write a report, for each Graphite protocol
+/// and number of destinations. Returns medians over this many rounds as JSON.
+pub fn run(rounds: usize) -> Value {
     let mut rows = Vec::new();
     for form in [Form::Plaintext, Form::Pickle] {
-        for destinations in DESTINATIONS {
-            rows.push(measure(form, destinations, turns));
+        for destinations in DESTINATION_COUNTS {
+            rows.push(measure(form, destinations, rounds));
         }
     }
-    json!({"messages_an_interval": MESSAGES, "turns": turns, "reports": rows})
+    json!({"messages_an_interval": MESSAGES_PER_INTERVAL, "turns": rounds, "reports": rows})
 }
 
-fn measure(form: Form, destinations: u32, turns: usize) -> Value {
-    let mut load = Load::new(form, destinations);
-    // The first turn is not measured: every series of its report is new.
-    load.run_turn(1);
-    let turns: Vec<Turn> = (2..=turns as u64 + 1).map(|number| load.run_turn(number)).collect();
-    let column = |figure: fn(&Turn) -> f64| round(median(turns.iter().map(figure).collect()));
+fn measure(form: Form, destinations: u32, rounds: usize) -> Value {
+    let mut bench = TelemetryBench::new(form, destinations);
+    // The first round is a warm-up, in which every series of the report is new.
+    bench.run_round(1);
+    let rounds: Vec<Round> = (2..=rounds as u64 + 1).map(|number| bench.run_round(number)).collect();
+    let median_of = |metric: fn(&Round) -> f64| round(median(rounds.iter().map(metric).collect()));
     json!({
         "form": form,
         "destinations": destinations,
         "classes": CLASSES,
-        "us_a_message": column(|turn| turn.interval.seconds * 1e6 / f64::from(MESSAGES)),
-        "ms_a_report": column(|turn| turn.report.total_ms),
-        "ms_longest_turn": column(|turn| turn.report.longest_slice_ms),
-        "points": column(|turn| turn.report.points as f64),
-        "graphite_bytes": column(|turn| turn.report.graphite_bytes as f64),
-        "collectd_bytes": column(|turn| turn.report.collectd_bytes as f64),
-        "log_bytes": column(|turn| turn.interval.log_bytes as f64),
+        "us_a_message": median_of(|round| round.interval.seconds * 1e6 / f64::from(MESSAGES_PER_INTERVAL)),
+        "ms_a_report": median_of(|round| round.report.total_ms),
+        "ms_longest_turn": median_of(|round| round.report.longest_slice_ms),
+        "points": median_of(|round| round.report.points as f64),
+        "graphite_bytes": median_of(|round| round.report.graphite_bytes as f64),
+        "collectd_bytes": median_of(|round| round.report.collectd_bytes as f64),
+        "log_bytes": median_of(|round| round.interval.log_bytes as f64),
     })
 }
 
@@ -123,27 +129,30 @@
     }
 }
 
-impl Load {
-    fn new(form: Form, destinations: u32) -> Load {
+impl TelemetryBench {
+    fn new(form: Form, destinations: u32) -> TelemetryBench {
         let mut telemetry = Telemetry::new(courier_info(), RestoredState::default(), settings(form), 0);
         telemetry.set_endpoints((0..destinations).map(|number| ListedEndpoint {
             endpoint: number,
             destination: number,
             independent_route: false,
         }));
-        Load { telemetry, destinations, rng: ChaCha8Rng::seed_from_u64(1) }
+        TelemetryBench { telemetry, destinations, rng: ChaCha8Rng::seed_from_u64(1) }
     }
 
-    fn run_turn(&mut self, number: u64) -> Turn {
-        let interval_end = number * INTERVAL;
-        let interval = self.run_interval(interval_end - INTERVAL + 1);
+    /// Records the messages of an interval and writes the report at its end. Interval `number` ends after
+    /// that many report intervals.
+    fn run_round(&mut self, number: u64) -> Round {
+        let interval_end = number * REPORT_INTERVAL;
+        let interval = self.run_interval(interval_end - REPORT_INTERVAL + 1);
         let report = self.write_report(interval_end);
-        Turn { interval, report }
+        Round { interval, report }
     }
 
+    /// Records the messages of an interval, all at the virtual time `now`.
     fn run_interval(&mut self, now: u64) -> IntervalCost {
         let mut cost = IntervalCost::default();
-        for message in 0..MESSAGES {
+        for message in 0..MESSAGES_PER_INTERVAL {
             let destination = self.rng.random_range(0..self.destinations);
             let class = self.rng.random_range(0..CLASSES);
             let started = Instant::now();
@@ -156,6 +165,7 @@
         cost
     }
 
+    /// Records a message that is delivered with one attempt.
     fn record_message(&mut self, message: u32, destination: u32, class: u8) {
         let endpoint = destination;
         let elapsed = SECOND / 20;
@@ -183,7 +193,8 @@
         self.telemetry.record(&DeliveryEvent::Completed { message, class, destination, answer, elapsed });
     }
 
-    /// Appends the changes of an iteration to the log and returns their size in bytes.
+    /// Has the telemetry append the counts of an iteration to its counter log, and returns their size in
+    /// bytes.
     fn append_to_log(&mut self, now: u64) -> usize {
         self.telemetry.process(now, now, CurrentState::default);
         let mut bytes = 0;
@@ -195,6 +206,7 @@
         bytes
     }
 
+    /// Writes the report that is due at `now`, one slice per millisecond of virtual time.
     fn write_report(&mut self, now: u64) -> ReportCost {
         let mut cost = ReportCost::default();
         for slice in 0..MAX_SLICES {
@@ -208,6 +220,8 @@
         cost
     }
 
+    /// Writes one slice. Syncs and the connection to Graphite succeed at once, and their time is not
+    /// measured.
     fn write_slice(&mut self, now: u64, cost: &mut ReportCost) {
         let started = Instant::now();
         self.telemetry.process(now, now, CurrentState::default);
--- a/crates/testbed/src/report_receiver.rs
+++ b/crates/testbed/src/report_receiver.rs
@@ -1,8 +1,8 @@
-//! A stand-in for Graphite and collectd: receives reports, stores the last value of each series, and detects
-//! counters that decrease.
+//! A receiver that takes the place of Graphite and collectd: it receives the reports of couriers, stores the
+//! last value of each series, and detects counters that decrease.
 //!
-//! A [`ReportReceiver`] owns a thread whose event loop listens, reads and stores. Tests and measurements make
-//! it misbehave with [`ReportReceiver::behave`]. It never sends anything to the couriers that report to it.
+//! A [`ReportReceiver`] owns a thread with an event loop. [`ReportReceiver::behave`] has it stop reading,
+//! reset connections or stop listening. It never sends data to the couriers that report to it.
 
 mod event_loop;
 
@@ -17,9 +17,11 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+/// Maximum time until the thread listens.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A writer that receives each point as one line of Graphite's plaintext form.
+/// A writer to which each received point is written as a line of Graphite's plaintext protocol: name, value
+/// and seconds since 1970.
 pub type PointRecord = Box<dyn Write + Send>;
 
 /// How a receiver treats its Graphite connections.
@@ -27,15 +29,15 @@
 pub enum Behaviour {
     /// Accepts connections and reads everything that is sent.
     Reads,
-    /// Accepts connections and never reads.
+    /// Accepts connections and never reads from them, so that the sender's TCP window closes.
     NeverReads,
-    /// Accepts connections and resets each one when data arrives on it.
+    /// Accepts connections and resets each one (TCP RST) when data arrives on it.
     Resets,
-    /// Does not listen.
+    /// Does not listen, so that connecting is refused.
     Absent,
 }
 
-/// What the owner of a receiver requests from its thread.
+/// What the owner of a receiver asks its thread to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
     Run(Behaviour),
@@ -45,23 +47,23 @@
 /// The addresses that a receiver listens on, and the packets that it accepts.
 #[derive(Clone, Debug, Default)]
 pub struct ListenAddresses {
-    /// TCP address for Graphite's plaintext and pickle forms; the first byte of a connection tells them
-    /// apart.
+    /// TCP address for Graphite's plaintext and pickle protocols; the first byte of a connection tells which
+    /// of them it uses.
     pub graphite: Option<SocketAddr>,
-    /// UDP address for collectd's packets.
+    /// UDP address for packets of collectd's binary protocol.
     pub collectd: Option<SocketAddr>,
     /// The keys that are accepted from each collectd user.
     pub users: BTreeMap<String, Vec<String>>,
-    /// The protection that collectd's packets must have.
+    /// The signature or encryption that collectd's packets must have.
     pub require: Require,
 }
 
 /// A receiver on a thread of its own. Dropping it stops the thread.
 #[derive(Debug)]
 pub struct ReportReceiver {
-    /// The TCP address that Graphite's forms are received on, or `None` if it does not listen for them.
+    /// The TCP address bound for Graphite's protocols; `None` if none was requested.
     pub graphite: Option<SocketAddr>,
-    /// The UDP address that collectd's packets are received on, or `None` if it does not listen for them.
+    /// The UDP address bound for collectd's packets; `None` if none was requested.
     pub collectd: Option<SocketAddr>,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -89,7 +91,7 @@
 }
 
 impl ReportReceiver {
-    /// Starts a receiver and waits until it listens. With a record, every point is also written there.
+    /// Starts a receiver and waits until it listens. Every point is also written to `record`, if given.
     ///
     /// # Errors
     /// Fails if an address cannot be listened on, or if the thread is not ready within ten seconds.
@@ -109,17 +111,18 @@
             }
         });
         let ready = ready_receiver.recv_timeout(STARTUP_TIMEOUT);
-        let BoundAddresses { graphite, collectd } = ready.context("the receiver did not come up")??;
+        let BoundAddresses { graphite, collectd } =
+            ready.context("the report receiver does not listen after 10 s")??;
         Ok(ReportReceiver { graphite, collectd, shared, thread: Some(thread) })
     }
 
-    /// Locks and returns everything that has been received so far. The receiver waits while the guard is
-    /// held.
+    /// Locks and returns everything that has been received so far. The receiver's thread blocks while the
+    /// guard is held.
     pub fn stream(&self) -> MutexGuard<'_, Stream> {
         self.shared.stream()
     }
 
-    /// Changes the behaviour; the thread applies it within its poll interval.
+    /// Changes the behaviour. The thread applies it within 20 ms, its poll interval.
     pub fn behave(&self, behaviour: Behaviour) {
         self.shared.set_mode(Mode::Run(behaviour));
     }
--- a/crates/testbed/src/report_receiver/event_loop.rs
+++ b/crates/testbed/src/report_receiver/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of a report receiver: listens, applies the requested behaviour, and stores what is
-//! received.
+//! The event loop of a report receiver: listens, applies the requested behaviour, and stores the received
+//! points and notifications.
 
 use super::{Behaviour, ListenAddresses, Mode, PointRecord, Shared};
 use anyhow::Context;
@@ -13,12 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Maximum wait of one poll, and so the delay until a requested behaviour is applied.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_CONNECTIONS: usize = 10_000;
+/// Maximum number of stored notifications; further ones are dropped.
 const MAX_NOTIFICATIONS: usize = 10_000;
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 
-/// The addresses that a receiver was bound to.
+/// The addresses that a receiver is bound to, with the ports that the system chose.
 pub(super) struct BoundAddresses {
     pub(super) graphite: Option<SocketAddr>,
     pub(super) collectd: Option<SocketAddr>,
@@ -38,10 +40,13 @@
 /// The event loop of a receiver, with its sockets.
 pub(super) struct ReceiverLoop {
     net: Net,
+    /// The keys that are accepted from each collectd user.
     users: BTreeMap<String, Vec<String>>,
+    /// The signature or encryption that collectd's packets must have.
     require: Require,
     graphite: Option<GraphiteListener>,
-    /// Reserves the port while the receiver does not listen, so that no other process is given it.
+    /// Keeps the Graphite port reserved while the receiver does not listen, so that no other process is given
+    /// it.
     _reserved: Option<Reserved>,
     /// Open connections, each with the received bytes that do not form a complete point yet.
     connections: BTreeMap<Token, Vec<u8>>,
@@ -50,7 +55,7 @@
 }
 
 impl ReceiverLoop {
-    /// Binds the sockets of the addresses that are given.
+    /// Binds a TCP socket for Graphite and a UDP socket for collectd, each if its address is given.
     pub(super) fn listen(
         addresses: ListenAddresses,
         shared: Arc<Shared>,
@@ -76,7 +81,7 @@
         Ok(ListeningReceiver { receiver, bound })
     }
 
-    /// Processes events until the owner stops the receiver or polling fails.
+    /// Processes events until the owner stops the receiver.
     pub(super) fn run(&mut self) {
         let mut events = Vec::new();
         let mut current = Behaviour::Reads;
@@ -92,7 +97,8 @@
         }
     }
 
-    /// Closes the Graphite listener and opens it again, unless the new behaviour is not to listen.
+    /// Applies a new behaviour to the Graphite listener and its connections. `Absent` closes the listener and
+    /// resets the connections; the others open the listener again and pause or resume reads.
     fn change_behaviour(&mut self, behaviour: Behaviour) {
         let Some(listener) = &mut self.graphite else { return };
         self.net.stop_listening(listener.token);
@@ -131,7 +137,8 @@
         }
     }
 
-    /// Adds the points that are complete. A connection that sends malformed data is closed.
+    /// Stores the complete points among the bytes that a Graphite connection has sent. The connection is
+    /// closed if nothing more can be decoded.
     fn receive(&mut self, token: Token, bytes: &[u8]) {
         let Some(mut unread) = self.connections.remove(&token) else { return };
         unread.extend(bytes);
@@ -147,7 +154,8 @@
         }
     }
 
-    /// Adds the values and notifications of a collectd packet; an invalid packet is only counted.
+    /// Stores the values and notifications of a collectd packet. A packet that cannot be decoded or lacks the
+    /// required signature or encryption is only counted.
     fn receive_packet(&mut self, packet: &[u8]) {
         let mut stream = self.shared.stream();
         stream.bytes += packet.len() as u64;
@@ -162,7 +170,7 @@
     }
 }
 
-/// Reserves a free port if the address leaves the port to the system.
+/// Reserves a free port if the address has port 0.
 fn reserve_port(address: SocketAddr) -> std::io::Result<Option<Reserved>> {
     if address.port() != 0 {
         return Ok(None);
@@ -180,7 +188,7 @@
     Ok(bound.address)
 }
 
-/// Stops reading from a connection while the receiver simulates one that never reads.
+/// Pauses reads from a connection if the behaviour is `NeverReads`, otherwise resumes them.
 fn apply_read_behaviour(net: &mut Net, token: Token, behaviour: Behaviour) {
     if behaviour == Behaviour::NeverReads {
         net.pause_reads(token);
@@ -189,6 +197,7 @@
     }
 }
 
+/// Stores a value as a point named HOST.PLUGIN.PLUGIN_INSTANCE.TYPE_INSTANCE, or a notification.
 fn add_packet_item(stream: &mut Stream, record: &mut Option<PointRecord>, item: PacketItem) {
     match item {
         PacketItem::Values { header, values } => {
@@ -210,7 +219,8 @@
     }
 }
 
-/// Writes a point to the record. The first write error ends the record; the receiver continues without it.
+/// Writes a point to the record, if there is one. After a write error the receiver continues without the
+/// record.
 fn write_point(record: &mut Option<PointRecord>, name: &str, value: f64, at: u64) {
     let Some(file) = record else { return };
     if writeln!(file, "{name} {value} {at}").is_err() {
--- a/crates/testbed/src/socket_run.rs
+++ b/crates/testbed/src/socket_run.rs
@@ -1,8 +1,9 @@
-//! Runs a scenario on sockets: each courier is a process, and the scenario runner around them is one event
-//! loop of this process.
+//! Runs a scenario on sockets: each courier is a child process, and the scenario runner is one event loop in
+//! this process.
 //!
-//! The runner's clients, endpoints and endpoint list speak to the couriers over loopback; what goes over the
-//! sockets is recorded for the conformance checks. Nothing here decides whether a run was good.
+//! The runner's clients and endpoints and its endpoint list service exchange data with the couriers over
+//! loopback connections. Messages, calls and answers are recorded; the conformance checks evaluate the
+//! records after the run.
 
 mod transport;
 
@@ -21,56 +22,59 @@
 
 const MILLISECOND: Time = 1_000_000;
 const SECOND: Time = 1000 * MILLISECOND;
-/// Time for all couriers to become ready.
+/// Maximum time until every courier is ready; see [`ScenarioRunner::ready`].
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time for all couriers to exit, in nanoseconds; longer than their drain timeout.
+/// Maximum time until every courier has exited after SIGTERM, in nanoseconds; longer than their drain
+/// timeout.
 const SHUTDOWN_TIMEOUT: Time = 12 * SECOND;
-/// Maximum wait for events while couriers become ready or exit.
+/// Maximum wait of one poll while couriers become ready or exit, in nanoseconds.
 const TRANSITION_POLL: Time = 10 * MILLISECOND;
-/// Maximum wait for events while traffic runs.
+/// Maximum wait of one poll while traffic runs, in nanoseconds.
 const TRAFFIC_POLL: Time = 200 * MILLISECOND;
-/// Maximum wait for events while there is no traffic.
+/// Maximum wait of one poll while the stack runs without traffic, in nanoseconds.
 const IDLE_POLL: Time = SECOND;
+/// How a successful reply of a control interface begins.
 const HTTP_OK: &str = "HTTP/1.1 200";
 
-/// How the couriers of a stack are started.
+/// How the couriers of a scenario are started.
 #[derive(Clone, Debug)]
 pub struct StackOptions {
     /// The name of the couriers' decision policy.
     pub policy: String,
-    /// The program whose `edge` command is a courier; outside tests, this program.
+    /// The program whose `edge` command runs a courier; outside tests, this program.
     pub program: PathBuf,
-    /// The folder for the couriers' state and logs.
+    /// The folder for the couriers' state and logs, with a folder for each courier.
     pub dir: PathBuf,
-    /// A Graphite receiver that the couriers report to every second, if any.
+    /// The Graphite receiver that the couriers report to every second; `None` if they send no reports.
     pub graphite: Option<SocketAddr>,
-    /// Called once per second of the scenario, if given.
+    /// Called once per second of the scenario with the progress so far; `None` for no progress reports.
     pub progress: Option<fn(Progress)>,
 }
 
 impl StackOptions {
-    /// Couriers with the decision library as their policy, without reports and progress.
+    /// Options for couriers that decide by the decision library and send no reports, without progress
+    /// reports.
     pub fn new(program: PathBuf, dir: PathBuf) -> StackOptions {
         StackOptions { policy: "library".into(), program, dir, graphite: None, progress: None }
     }
 }
 
-/// The progress of a run.
+/// How far a run has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
     /// Seconds of the scenario that have passed.
     pub seconds: f64,
     /// Length of the scenario in seconds.
     pub of_seconds: f64,
-    /// Number of messages that wait for their answer.
+    /// Number of submissions that wait for their answer.
     pub open_messages: usize,
 }
 
-/// Running couriers and the scenario runner around them.
+/// Running courier processes, and the scenario runner that plays their clients, endpoints and endpoint list.
 struct SocketStack<'a> {
     runner: ScenarioRunner<'a, SocketTransport<'a>>,
     options: &'a StackOptions,
-    /// The origin of the runner's clock.
+    /// When the runner's clock was zero. It is set again when traffic starts.
     started: Instant,
     /// Whether SIGTERM or SIGINT was received.
     is_signalled: bool,
@@ -79,7 +83,8 @@
 /// Runs a scenario to its end and returns what was recorded.
 ///
 /// # Errors
-/// Fails if a courier does not start, does not become ready, or does not exit cleanly.
+/// Fails if a courier does not start, is not ready within 20 seconds, or does not exit with code 0 within 12
+/// seconds after SIGTERM.
 pub fn run(fleet: &Fleet, options: &StackOptions) -> anyhow::Result<ScenarioRecords> {
     let mut stack = SocketStack::start(fleet, options)?;
     stack.run_traffic(fleet.scenario.seconds)?;
@@ -87,8 +92,9 @@
     Ok(stack.runner.finish().records)
 }
 
-/// Runs the stack of a scenario without its traffic until SIGTERM or SIGINT. `ready` is called once with a
-/// JSON description of the addresses and topics.
+/// Runs the couriers and endpoints of a scenario without its traffic until SIGTERM or SIGINT. `ready` is
+/// called once every courier is ready, with the first courier's addresses, the destinations and the topics as
+/// JSON.
 pub fn run_until_signal(
     fleet: &Fleet,
     options: &StackOptions,
@@ -123,13 +129,14 @@
         while !self.runner.ready() {
             if Instant::now() > ready_by {
                 let dir = self.options.dir.display();
-                bail!("the couriers did not get ready in 20 s; see the logs in {dir}");
+                bail!("couriers not ready within 20 s; see the logs in {dir}");
             }
             self.poll(&mut events, TRANSITION_POLL)?;
         }
         Ok(())
     }
 
+    /// The addresses of the first courier, and the destinations and topics of the fleet, as JSON.
     fn description(&self, fleet: &Fleet) -> anyhow::Result<Value> {
         let courier = self.runner.transport.couriers.values().next().context("no courier")?;
         let mut destinations = Vec::new();
@@ -148,6 +155,8 @@
         }))
     }
 
+    /// Runs the scenario's traffic until the runner has finished. `length` is the scenario's length in
+    /// seconds.
     fn run_traffic(&mut self, length: f64) -> anyhow::Result<()> {
         self.started = Instant::now();
         self.runner.start_traffic();
@@ -172,7 +181,8 @@
         }
     }
 
-    /// Shuts the couriers down gracefully, as an operator does, and checks their exit codes.
+    /// Shuts the couriers down with SIGTERM, after SIGCONT for those that are suspended, and waits until all
+    /// have exited with code 0.
     fn stop_couriers(&mut self) -> anyhow::Result<()> {
         let couriers = &self.runner.transport.couriers;
         for courier in couriers.values() {
@@ -192,9 +202,9 @@
         while let Some(courier) = self.runner.transport.couriers.get_mut(&number) {
             match courier.wait(Duration::ZERO) {
                 Some(0) => break,
-                Some(code) => bail!("courier {number} ended with code {code}; see its log"),
+                Some(code) => bail!("courier {number} exited with code {code}; see its log"),
                 None if self.runner.now() > stop_by => {
-                    bail!("courier {number} did not end within its time; see its log")
+                    bail!("courier {number} did not exit within 12 s or was killed by a signal; see its log")
                 }
                 None => self.poll(&mut events, TRANSITION_POLL)?,
             }
@@ -202,7 +212,8 @@
         Ok(())
     }
 
-    /// Waits for events for at most `max_wait` nanoseconds, then processes them and the timers that are due.
+    /// Waits for socket events for at most `max_wait` nanoseconds or until the runner's next timer is due,
+    /// then processes the events and the due timers.
     fn poll(&mut self, events: &mut Vec<Event>, max_wait: Time) -> anyhow::Result<()> {
         let wait_until = self.runner.now() + max_wait;
         let next = self.runner.next_wakeup().map_or(wait_until, |wakeup| wakeup.min(wait_until));
@@ -216,7 +227,7 @@
         Ok(self.runner.run_due_timers()?)
     }
 
-    /// Nanoseconds since the runner's clock was started.
+    /// Nanoseconds since [`SocketStack::started`].
     fn elapsed(&self) -> Time {
         self.started.elapsed().as_nanos() as Time
     }
@@ -244,7 +255,8 @@
         }
     }
 
-    /// Data is a part of a control interface's reply, or belongs to a connection of the runner.
+    /// Processes data that is part of a control interface's reply, or arrived on a connection of a client or
+    /// endpoint.
     fn process_data(&mut self, token: Token, bytes: &[u8]) {
         match self.runner.transport.pending_replies.get_mut(&token) {
             Some(pending) => pending.received.extend(bytes),
@@ -252,7 +264,8 @@
         }
     }
 
-    /// The end of a connection completes a control interface's reply.
+    /// Processes the end of a connection. It completes the reply of a control interface, since requests to
+    /// one are sent with `Connection: close`.
     fn process_closed(&mut self, token: Token) -> anyhow::Result<()> {
         let Some(pending) = self.runner.transport.pending_replies.remove(&token) else {
             self.runner.disconnected(token);
--- a/crates/testbed/src/socket_run/transport.rs
+++ b/crates/testbed/src/socket_run/transport.rs
@@ -14,38 +14,43 @@
 use std::time::{Duration, SystemTime};
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-/// An address without a listener; connecting to it fails. It stands for a courier or endpoint that does not
-/// exist.
+/// A loopback address at which nothing listens, so that connecting to it is refused. It is used for couriers
+/// that are not running and endpoints that were never opened.
 const UNREACHABLE: SocketAddr = SocketAddr::new(LOOPBACK, 1);
 const MAX_CONNECTIONS: usize = 60_000;
-/// The couriers' drain timeout after SIGTERM.
+/// How long couriers continue to deliver the messages in flight after SIGTERM.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A reply of a control interface that is not complete yet.
+/// The reply to a PUT at a courier's control interface, which is complete when its connection is closed.
 pub(super) struct PendingReply {
     pub(super) courier: u32,
+    /// The incarnation of the courier to which the request was sent.
     pub(super) incarnation: u32,
+    /// The bytes that have arrived so far.
     pub(super) received: Vec<u8>,
 }
 
-/// The listener of an endpoint, and the port that is reserved for it.
+/// The listening socket of an endpoint, and the port that is reserved for it.
 struct EndpointListener {
+    /// The listening socket; `None` while the endpoint is shut.
     token: Option<Token>,
-    /// Reserved as long as the stack runs, so that no other process receives calls to a removed endpoint.
+    /// The port stays reserved until the end of the run, so that no other process is given it and receives
+    /// calls to an endpoint that was shut.
     port: Reserved,
 }
 
-/// The sockets of the runner and the processes of the couriers.
+/// The sockets of the runner and the processes of the couriers, by courier number.
 pub(super) struct SocketTransport<'a> {
     fleet: &'a Fleet,
     options: &'a StackOptions,
     pub(super) net: Net,
     pub(super) couriers: BTreeMap<u32, CourierProcess>,
-    /// The endpoint of each listener.
+    /// The endpoint number of each listening socket.
     pub(super) listeners: BTreeMap<Token, u32>,
     pub(super) pending_replies: BTreeMap<Token, PendingReply>,
     endpoints: BTreeMap<u32, EndpointListener>,
-    /// The name that reports use for each destination, by its number.
+    /// The name of each destination in reports, KIND-NUMBER, by its number as the telemetry settings write
+    /// it.
     destination_names: BTreeMap<String, String>,
 }
 
@@ -102,7 +107,7 @@
             policy: &self.options.policy,
             drain_timeout: DRAIN_TIMEOUT,
         })?;
-        // A restarted courier loads the settings of its reports from its snapshot.
+        // A restarted courier recovers its telemetry settings from its snapshot.
         if let Some(address) = self.options.graphite.filter(|_| first) {
             let graphite = json!({"address": address.to_string()});
             let settings = json!({"interval_s": 1, "names": self.destination_names, "graphite": graphite});
--- a/crates/testbed/src/throughput_baseline.rs
+++ b/crates/testbed/src/throughput_baseline.rs
@@ -1,9 +1,9 @@
-//! The throughput baseline: the cost of a message in an edge, compared in one run with a relay that decides
-//! nothing.
+//! The throughput baseline: CPU time per message, throughput, latency and memory of an edge, compared within
+//! one run with a relay that has no decision policy.
 //!
-//! Clients run on one thread and endpoints on another; edge and relay are processes that are each pinned to a
-//! core. CPU time is what the system accounts to that process, so it does not matter which side limits the
-//! throughput.
+//! Clients run on one thread and endpoints on another; edge and relay are child processes, each pinned to a
+//! CPU core. CPU time is read from `/proc/PID/stat` of the measured process, so that CPU time per message
+//! does not depend on whether clients, endpoints or the process limit the throughput.
 
 mod cases;
 mod clients;
@@ -15,7 +15,7 @@
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-/// Number of idle client connections in the measurement of memory.
+/// Number of idle client connections when memory per connection is measured.
 const IDLE_CONNECTIONS: usize = 5000;
 
 /// How the baseline is measured.
@@ -23,32 +23,38 @@
 pub struct Options {
     /// The program whose `edge` and `relay` commands are measured.
     pub program: PathBuf,
-    /// A folder for state and logs.
+    /// The folder for the processes' state and logs.
     pub dir: PathBuf,
     /// Length of each measurement in seconds.
     pub seconds: f64,
-    /// Number of measurements of each kind; medians are given.
+    /// Number of repetitions of the cases that compare processes; minimum, median and maximum over them are
+    /// given.
     pub rounds: usize,
 }
 
-/// The parts that are measured, and the numbers that they are measured over.
+/// Which parts are measured, and the parameter values that they are measured for.
 #[derive(Clone, Debug)]
 pub struct Selection {
     /// The name of the only part that is measured; all parts if `None`.
     pub only: Option<String>,
-    /// Numbers of messages in flight.
+    /// Numbers of messages in flight, for the part `held`.
     pub in_flight: Vec<usize>,
-    /// Numbers of destinations.
+    /// Numbers of destinations, for the part `destinations`.
     pub destinations: Vec<usize>,
 }
 
 /// A part of the baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part {
+    /// An edge compared with a relay.
     EdgeAndRelay,
+    /// CPU time per message for numbers of destinations.
     Destinations,
+    /// CPU time per message and memory for numbers of messages in flight.
     InFlight,
+    /// Memory per idle client connection.
     Connections,
+    /// CPU time and latency of messages with and without reports.
     Telemetry,
 }
 
@@ -56,7 +62,7 @@
     const ALL: [Part; 5] =
         [Part::EdgeAndRelay, Part::Destinations, Part::InFlight, Part::Connections, Part::Telemetry];
 
-    /// The name on the command line and in the figures.
+    /// The name on the command line and in the JSON output.
     fn name(self) -> &'static str {
         match self {
             Part::EdgeAndRelay => "beside",
@@ -78,19 +84,19 @@
     }
 }
 
-/// Measures the selected parts. Prints the figures of each part when it is done and returns all of them as
-/// one document.
+/// Measures the selected parts. Prints the results of each part when it is done and returns all of them as
+/// one JSON document.
 ///
 /// # Errors
-/// Fails if there is no part of the selected name, or a process or a client fails.
+/// Fails if no part has the selected name, or a process or a client fails.
 pub fn run(options: Options, selection: &Selection) -> anyhow::Result<Value> {
     let parts = selected_parts(selection)?;
     let mut document = json!({"seconds": options.seconds, "rounds": options.rounds});
     for part in parts {
         let name = part.name();
-        let figures = part.measure(&options, selection).with_context(|| name.to_owned())?;
-        println!("{name}: {}", serde_json::to_string_pretty(&figures)?);
-        document[name] = figures;
+        let results = part.measure(&options, selection).with_context(|| name.to_owned())?;
+        println!("{name}: {}", serde_json::to_string_pretty(&results)?);
+        document[name] = results;
     }
     Ok(document)
 }
@@ -99,6 +105,6 @@
     let Some(only) = &selection.only else { return Ok(Part::ALL.to_vec()) };
     match Part::ALL.into_iter().find(|part| part.name() == only) {
         Some(part) => Ok(vec![part]),
-        None => bail!("`{only}` is no part; there are {}", Part::ALL.map(Part::name).join(", ")),
+        None => bail!("unknown part `{only}`; the parts are {}", Part::ALL.map(Part::name).join(", ")),
     }
 }
--- a/crates/testbed/src/throughput_baseline/clients.rs
+++ b/crates/testbed/src/throughput_baseline/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that submit messages and measure the time until each is answered.
+//! A load generator: clients that submit messages and measure the time until each is answered.
 
 use crate::protocol::{ALL_REPLICAS, MAX_CONNECTIONS, MAX_FRAME_BYTES, PRODUCE_VERSION};
 use anyhow::bail;
@@ -10,57 +10,66 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
+/// Maximum time until all clients are connected.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_POLL: Duration = Duration::from_millis(50);
+/// The `timeout_ms` field of the Produce requests.
 const PRODUCE_TIMEOUT_MS: i32 = 30_000;
+/// Size of a record's value.
 const RECORD_BYTES: usize = 200;
 
-/// How fast clients submit.
+/// When clients submit messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Load {
-    /// Each connection submits the next message when the last is answered.
-    FullSpeed,
-    /// This many messages per second over all connections.
-    PerSecond(f64),
+    /// Closed loop: each connection submits its next message when the last is answered, so that throughput
+    /// follows the speed of the measured process.
+    ClosedLoop,
+    /// Open loop: this many messages per second over all connections, whether or not earlier ones are
+    /// answered.
+    OpenLoop(f64),
 }
 
 impl Load {
-    /// Maximum wait for answers before the next message may be due.
+    /// Maximum wait of one poll. It is short in an open loop, since the next message may be due.
     fn poll_interval(self) -> Duration {
         match self {
-            Load::FullSpeed => Duration::from_millis(20),
-            Load::PerSecond(_) => Duration::from_micros(200),
+            Load::ClosedLoop => Duration::from_millis(20),
+            Load::OpenLoop(_) => Duration::from_micros(200),
         }
     }
 }
 
-/// The results of clients over a period of time.
+/// The answers that clients received over a period of time.
 pub(super) struct ClientResults {
+    /// Number of answered messages.
     pub(super) messages: u64,
+    /// Length of the period in seconds.
     pub(super) seconds: f64,
-    /// Nanoseconds from the submission to the answer.
+    /// Nanoseconds from a message's submission to its answer.
     pub(super) latency: Histogram<u64>,
 }
 
 struct Connection {
     token: Token,
     frames: Frames,
-    /// Messages without an answer, by correlation id, with the time of their submission.
+    /// When each unanswered message was submitted, by correlation id.
     pending: BTreeMap<i32, Instant>,
 }
 
-/// Connected clients, and the destinations that they submit messages for in turn.
+/// Connected clients, which submit messages for a range of destinations in round-robin order.
 pub(super) struct Clients {
     net: Net,
     connections: Vec<Connection>,
+    /// The index in `connections` of each token.
     by_token: BTreeMap<Token, usize>,
     last_correlation: i32,
     destinations: Range<usize>,
+    /// The record that every message consists of.
     record: Record,
 }
 
 impl Clients {
-    /// Connects this many clients and waits until all are connected.
+    /// Opens `count` client connections and waits until all are established.
     pub(super) fn connect(
         address: SocketAddr,
         count: usize,
@@ -90,13 +99,13 @@
             self.net.poll(CONNECT_POLL, &mut events);
             connected += events.drain(..).filter(|event| matches!(event, Event::Connected(_))).count();
             if Instant::now() > connect_by {
-                bail!("only {connected} of {count} clients could connect");
+                bail!("only {connected} of {count} clients connected within 10 s");
             }
         }
         Ok(())
     }
 
-    /// Submits a message on a connection.
+    /// Submits a message for the next destination on the connection with this index.
     pub(super) fn submit(&mut self, index: usize) -> anyhow::Result<()> {
         self.last_correlation = self.last_correlation % i32::MAX + 1;
         let correlation = self.last_correlation;
@@ -112,7 +121,7 @@
         Ok(())
     }
 
-    /// Sends and receives for at most the timeout, and ignores the answers.
+    /// Polls the connections once with this timeout and discards the answers that arrive.
     pub(super) fn poll_ignoring_answers(&mut self, timeout: Duration) {
         self.net.poll(timeout, &mut Vec::new());
     }
@@ -122,12 +131,12 @@
         let started = Instant::now();
         let mut results = ClientResults { messages: 0, seconds: 0.0, latency: Histogram::new(3)? };
         let mut submitted = 0u64;
-        if load == Load::FullSpeed {
+        if load == Load::ClosedLoop {
             self.submit_on_idle_connections()?;
         }
         let mut events = Vec::new();
         while started.elapsed() < duration {
-            if let Load::PerSecond(rate) = load {
+            if let Load::OpenLoop(rate) = load {
                 let due = started.elapsed().as_secs_f64() * rate;
                 self.submit_due(&mut submitted, due)?;
             }
@@ -142,7 +151,8 @@
         Ok(results)
     }
 
-    /// Submits messages on the connections in turn until as many as are due have been submitted.
+    /// Submits messages on the connections in turn until `due` have been submitted since the start of the
+    /// run.
     fn submit_due(&mut self, submitted: &mut u64, due: f64) -> anyhow::Result<()> {
         while (*submitted as f64) < due {
             self.submit(*submitted as usize % self.connections.len())?;
@@ -151,6 +161,7 @@
         Ok(())
     }
 
+    /// Submits a message on each connection that waits for no answer.
     fn submit_on_idle_connections(&mut self) -> anyhow::Result<()> {
         for index in 0..self.connections.len() {
             if self.connections[index].pending.is_empty() {
@@ -160,6 +171,8 @@
         Ok(())
     }
 
+    /// Records the answers among the bytes that have arrived on a connection and, in a closed loop, submits
+    /// the next message for each.
     fn receive(
         &mut self,
         token: Token,
@@ -178,7 +191,7 @@
                 results.latency.record(submitted_at.elapsed().as_nanos() as u64)?;
                 results.messages += 1;
             }
-            if load == Load::FullSpeed {
+            if load == Load::ClosedLoop {
                 self.submit(index)?;
             }
         }
--- a/crates/testbed/src/throughput_baseline/subject.rs
+++ b/crates/testbed/src/throughput_baseline/subject.rs
@@ -1,4 +1,4 @@
-//! The edge or relay under measurement.
+//! Starts and measures the edge or relay under test.
 
 use super::clients::{Clients, Load};
 use super::process_usage;
@@ -11,43 +11,43 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The core that the measured process is pinned to.
+/// The number of the CPU core that the measured process is pinned to.
 const MEASURED_CORE: usize = 1;
 
-/// The limits and destinations that an edge is configured with.
+/// The concurrency limit and the destinations that an edge is configured with.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EdgeSetup {
-    /// Maximum number of calls in flight.
+    /// Maximum number of calls in flight to endpoints.
     pub(super) max_in_flight_calls: usize,
     /// Number of destinations with one endpoint each.
     pub(super) destinations: usize,
-    /// Number of destinations, the first ones, that never answer.
+    /// Number of destinations whose endpoints never answer; they have the lowest numbers.
     pub(super) silent_destinations: usize,
 }
 
-/// A process under measurement, and the endpoints behind it.
+/// A process under test and the endpoints that it calls.
 pub(super) struct Subject {
     pub(super) process: CourierProcess,
     _receivers: MessageReceivers,
 }
 
-/// The figures of one measurement.
+/// The results of one measurement.
 pub(super) struct Measurement {
-    /// CPU time per message, in microseconds.
+    /// CPU time of the process per answered message, in microseconds.
     pub(super) cpu_us: f64,
+    /// Answered messages per second.
     pub(super) messages_per_second: f64,
-    /// Nanoseconds from the submission to the answer.
+    /// Nanoseconds from a message's submission to its answer.
     pub(super) latency: Histogram<u64>,
 }
 
 impl Subject {
-    /// Starts an edge with its settings and endpoint list.
+    /// Starts an edge with settings and an endpoint list, and its state in the folder of the options.
     pub(super) fn edge(options: &Options, setup: EdgeSetup) -> anyhow::Result<Subject> {
         Subject::edge_in(options, &options.dir, setup)
     }
 
-    /// Starts an edge with its settings and endpoint list, and a state folder of its own within the given
-    /// folder.
+    /// Starts an edge with settings and an endpoint list, and its state in a new folder within `folder`.
     pub(super) fn edge_in(options: &Options, folder: &Path, setup: EdgeSetup) -> anyhow::Result<Subject> {
         let EdgeSetup { max_in_flight_calls, destinations, silent_destinations } = setup;
         let serving = destinations - silent_destinations;
@@ -67,7 +67,7 @@
         Ok(Subject { process, _receivers: receivers })
     }
 
-    /// Starts a relay.
+    /// Starts a relay to this many endpoints.
     pub(super) fn relay(options: &Options, destinations: usize) -> anyhow::Result<Subject> {
         let receivers = MessageReceivers::start(ReceiverCounts::serving(destinations))?;
         let addresses: Vec<String> = receivers.addresses.iter().map(ToString::to_string).collect();
@@ -76,7 +76,7 @@
         Ok(Subject { process, _receivers: receivers })
     }
 
-    /// Has clients submit messages for a period of time and measures the process meanwhile.
+    /// Applies a load for a number of seconds and measures the process during that time.
     pub(super) fn measure(
         &self,
         clients: &mut Clients,
@@ -95,6 +95,7 @@
         })
     }
 
+    /// Resident set size of the process, in bytes.
     pub(super) fn resident_bytes(&self) -> anyhow::Result<u64> {
         process_usage::resident_bytes(self.process.pid())
     }
--- a/crates/testbed/src/throughput_baseline/telemetry_case.rs
+++ b/crates/testbed/src/throughput_baseline/telemetry_case.rs
@@ -1,5 +1,5 @@
-//! The cost of reports in an edge: without reports, and with receivers that behave well and badly, measured
-//! in turn.
+//! The cost of reports to an edge's messages: CPU time and latency without reports, and with reports to a
+//! receiver that reads, is absent, or never reads.
 
 use super::clients::{Clients, Load};
 use super::subject::{EdgeSetup, Measurement, Subject};
@@ -11,11 +11,13 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// Messages per second.
 const RATE: f64 = 6000.0;
+/// Time under load before the first measurement of a case.
 const WARM_UP: Duration = Duration::from_secs(1);
 const SETUP: EdgeSetup = EdgeSetup { max_in_flight_calls: 512, destinations: 10, silent_destinations: 0 };
 
-/// A case before it is started.
+/// The name of a case, and the receiver that its edge reports to.
 #[derive(Clone, Copy)]
 struct CaseSetup {
     name: &'static str,
@@ -28,7 +30,7 @@
     CaseSetup { name: "up", receiver: Some(Behaviour::Reads) },
     CaseSetup { name: "down", receiver: Some(Behaviour::Absent) },
     CaseSetup { name: "never reads", receiver: Some(Behaviour::NeverReads) },
-    // The difference between two equal cases shows how precise the other ratios are.
+    // The same setup as the first case: the ratio of the two shows the measurement error of the other ratios.
     CaseSetup { name: "off again", receiver: None },
 ];
 
@@ -38,24 +40,25 @@
     edge: Subject,
     clients: Clients,
     _receiver: Option<ReportReceiver>,
-    figures: Vec<Figures>,
+    /// One sample for each round.
+    samples: Vec<Sample>,
 }
 
-/// The figures of one measurement.
+/// CPU time per message and 99th percentile of latency in one measurement, in microseconds.
 #[derive(Clone, Copy)]
-struct Figures {
+struct Sample {
     cpu_us: f64,
     p99_us: f64,
 }
 
-impl Figures {
-    fn of(measurement: &Measurement) -> Figures {
+impl Sample {
+    fn of(measurement: &Measurement) -> Sample {
         let p99_ns = measurement.latency.value_at_quantile(0.99);
-        Figures { cpu_us: measurement.cpu_us, p99_us: p99_ns as f64 / 1e3 }
+        Sample { cpu_us: measurement.cpu_us, p99_us: p99_ns as f64 / 1e3 }
     }
 }
 
-/// Measures each case in turn at a fixed rate of messages. Reports are sent every second, ten times as often
+/// Measures each case in turn at the same open-loop rate. Reports are sent every second, ten times as often
 /// as by default.
 pub(super) fn telemetry(options: &Options) -> anyhow::Result<Value> {
     let mut cases = Vec::new();
@@ -64,18 +67,18 @@
         cases.push(start_case(options, &folder, setup)?);
     }
     for case in &mut cases {
-        case.clients.run(WARM_UP, Load::PerSecond(RATE))?;
+        case.clients.run(WARM_UP, Load::OpenLoop(RATE))?;
     }
     for round in 0..options.rounds {
-        // Each round begins with another case.
+        // Each round begins with another case, so that no case is always measured first.
         for position in 0..cases.len() {
             let index = (position + round) % cases.len();
             let case = &mut cases[index];
-            let measured = case.edge.measure(&mut case.clients, options.seconds, Load::PerSecond(RATE))?;
-            case.figures.push(Figures::of(&measured));
+            let measured = case.edge.measure(&mut case.clients, options.seconds, Load::OpenLoop(RATE))?;
+            case.samples.push(Sample::of(&measured));
         }
     }
-    let without_reports = &cases[0].figures;
+    let without_reports = &cases[0].samples;
     let rows: Vec<Value> = cases.iter().map(|case| case_json(case, without_reports)).collect();
     Ok(json!({"rate_per_s": RATE, "cases": rows}))
 }
@@ -84,9 +87,10 @@
     let edge = Subject::edge_in(options, folder, SETUP)?;
     let receiver = setup.receiver.map(|behaviour| start_receiver(&edge, behaviour)).transpose()?;
     let clients = Clients::connect(edge.process.kafka, 64, 0..SETUP.destinations)?;
-    Ok(Case { name: setup.name, edge, clients, _receiver: receiver, figures: Vec::new() })
+    Ok(Case { name: setup.name, edge, clients, _receiver: receiver, samples: Vec::new() })
 }
 
+/// Starts a receiver and has the edge report to it over Graphite's plaintext protocol.
 fn start_receiver(edge: &Subject, behaviour: Behaviour) -> anyhow::Result<ReportReceiver> {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let addresses = ListenAddresses { graphite: Some(any_port), ..ListenAddresses::default() };
@@ -98,17 +102,18 @@
     Ok(receiver)
 }
 
-fn case_json(case: &Case, without_reports: &[Figures]) -> Value {
-    let column = |figure: fn(&Figures) -> f64| spread(case.figures.iter().map(figure).collect());
-    let ratios = |figure: fn(&Figures) -> f64| {
-        let pairs = case.figures.iter().zip(without_reports);
-        spread(pairs.map(|(with, without)| figure(with) / figure(without)).collect())
+/// The spread of a case's samples, and of their ratios to the samples without reports in the same rounds.
+fn case_json(case: &Case, without_reports: &[Sample]) -> Value {
+    let spread_of = |metric: fn(&Sample) -> f64| spread(case.samples.iter().map(metric).collect());
+    let spread_of_ratios = |metric: fn(&Sample) -> f64| {
+        let pairs = case.samples.iter().zip(without_reports);
+        spread(pairs.map(|(with, without)| metric(with) / metric(without)).collect())
     };
     json!({
         "receiver": case.name,
-        "cpu_us": column(|figures| figures.cpu_us),
-        "p99_us": column(|figures| figures.p99_us),
-        "cpu_over_off": ratios(|figures| figures.cpu_us),
-        "p99_over_off": ratios(|figures| figures.p99_us),
+        "cpu_us": spread_of(|sample| sample.cpu_us),
+        "p99_us": spread_of(|sample| sample.p99_us),
+        "cpu_over_off": spread_of_ratios(|sample| sample.cpu_us),
+        "p99_over_off": spread_of_ratios(|sample| sample.p99_us),
     })
 }
