--- a/crates/testbed/tests/emulated.rs
+++ b/crates/testbed/tests/emulated.rs
@@ -1,4 +1,4 @@
-//! Experiments, fault searches, traces and runs in virtual time.
+//! Runs in virtual time: experiments, fault searches, message traces, and comparison with a run on sockets.
 
 #[path = "support/work_folder.rs"]
 mod work_folder;
@@ -36,6 +36,7 @@
 levels = ["library", "one-try"]
 "#;
 
+/// Options with a limit on the runs of one call, to stop an experiment before it is complete.
 fn options(threads: usize, max_runs: Option<u64>) -> experiment::Options {
     experiment::Options {
         threads,
@@ -50,15 +51,17 @@
     experiment::run(Plan::parse(PLAN).unwrap(), out, &options).unwrap()
 }
 
-/// Appends a part of a line, as a process leaves it that is killed while it writes.
+/// Appends an incomplete line, as a process leaves it that is killed during a write.
 fn append_incomplete_line(lines: &Path) {
     let mut text = std::fs::read_to_string(lines).unwrap();
     text.push_str("{\"run\":7,\"se");
     std::fs::write(lines, text).unwrap();
 }
 
+/// An experiment that is stopped twice, once within a line, ends with the same files as an uninterrupted one,
+/// on any number of threads. It cannot be continued with another plan or commit.
 #[test]
-fn experiment_that_was_stopped_continues_to_the_same_bytes() {
+fn stopped_experiment_continues_to_the_same_bytes() {
     let (uninterrupted, stopped) = (work_folder("uninterrupted"), work_folder("stopped"));
     assert_eq!(run_experiment(&uninterrupted, options(1, None)), Completion::Complete);
     assert_eq!(run_experiment(&stopped, options(2, Some(3))), Completion::Partial);
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn commit_of_a_checked_out_folder_is_its_id_or_unknown() {
+fn commit_is_an_id_or_unknown() {
     let commit = experiment::commit();
     let id = commit.strip_suffix(" and changes").unwrap_or(&commit);
     let is_id = id.len() >= 12 && id.chars().all(|character| character.is_ascii_hexdigit());
@@ -132,6 +135,7 @@
     assert_ne!(first, digest("4"));
 }
 
+/// A search for a broken invariant in the `quiet` scenario, over 20 runs.
 fn search(policy: &str, threads: usize) -> FaultSearch {
     FaultSearch {
         base: Scenario::find("quiet").unwrap().with(Some(2), 6.0).unwrap(),
@@ -148,22 +152,22 @@
 #[test]
 fn fault_search_finds_a_broken_invariant_and_its_script_breaks_it_again() {
     let finding = search("round-robin", 3).run(&|_| {}).unwrap();
-    let finding = finding.expect("a policy that respects no limits breaks an invariant");
+    let finding = finding.expect("round-robin respects no limits, so that it breaks an invariant");
     let by_one_thread = search("round-robin", 1).run(&|_| {}).unwrap().unwrap();
     assert_eq!(
         (finding.run, &finding.shrunk),
         (by_one_thread.run, &by_one_thread.shrunk),
-        "the same on any number of threads"
+        "the finding depends on the number of threads"
     );
     assert!(finding.shrunk.scenario.faults.len() <= finding.drawn.scenario.faults.len());
     let scenario = Scenario::parse(&script(&finding).unwrap()).unwrap();
     let report = Recipe { scenario, ..finding.shrunk.clone() }.run_checked().unwrap().report;
     let broken = report.rules.iter().find(|invariant| invariant.violations > 0);
-    let broken = broken.expect("the script breaks it too");
+    let broken = broken.expect("the script breaks an invariant");
     assert!(finding.summary.contains(broken.rule));
 }
 
-/// The message with most calls at endpoints.
+/// The message with the most calls that arrived at endpoints.
 struct MostCalled {
     message: u64,
     calls: usize,
@@ -194,12 +198,12 @@
     assert!(error.contains("the run has 0 to"), "{error}");
 }
 
-/// Events and actions that are left out, because their number and order depend on timing.
+/// Events and actions whose number and order depend on timing; they are not compared.
 const TIMED_ITEMS: [&str; 4] = ["List", "Wake", "Close", "Log"];
-/// Fields of events and actions that do not depend on clocks.
+/// The fields of events and actions that are compared; they do not depend on clocks.
 const COMPARED_FIELDS: [&str; 6] = ["id", "message", "attempt", "destination", "endpoint", "ending"];
 
-/// Describes an event or action of a record without its times; `None` if it is left out.
+/// Describes an event or action of a decision record by its compared fields; `None` if it is not compared.
 fn describe_item(kind: &str, item: &Value) -> Option<String> {
     let (name, fields) = item.as_object()?.iter().next()?;
     if TIMED_ITEMS.contains(&name.as_str()) {
@@ -214,7 +218,7 @@
     Some(text)
 }
 
-/// The events and actions of the only record in a folder, in order and without their times.
+/// The compared events and actions of the only decision record in a folder, in order.
 fn events_and_actions(dir: &Path) -> Vec<String> {
     let file = std::fs::read_dir(dir).unwrap().next().expect("a record").unwrap().path();
     let text = std::fs::read_to_string(file).unwrap();
@@ -249,13 +253,13 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// A scenario that a fault search found while an invariant was broken on it.
+/// A scenario with which a fault search broke an invariant, before the defect in the code was fixed.
 struct FoundScenario {
     name: &'static str,
     script: &'static str,
 }
 
-/// Each of these breaks its invariant again when the fix for it is removed.
+/// Regression cases: each breaks its invariant again when the fix for it is removed.
 const FOUND: [FoundScenario; 8] = [
     FoundScenario { name: "turned-away", script: include_str!("finds/turned-away.toml") },
     FoundScenario { name: "late-wait", script: include_str!("finds/late-wait.toml") },
@@ -267,7 +271,7 @@
     FoundScenario { name: "handed-on-disk", script: include_str!("finds/handed-on-disk.toml") },
 ];
 
-/// The seed in the comment that says how to run a script.
+/// The seed in the comment of a script that gives the command to run it in virtual time.
 fn seed_of_script(script: &str) -> Option<u64> {
     script.lines().find_map(|line| line.split_once("emulate FILE --seed ")?.1.parse().ok())
 }
--- a/crates/testbed/tests/process.rs
+++ b/crates/testbed/tests/process.rs
@@ -1,4 +1,5 @@
-//! The courier as a process: its control interface, its snapshot, its shutdown, and clients that misbehave.
+//! The courier as a process: its control interface, snapshot and shutdown, and its answers to clients while
+//! other clients misbehave, file descriptors run out or system calls fail.
 
 #[path = "support/control.rs"]
 mod control;
@@ -24,11 +25,15 @@
 use std::time::{Duration, Instant};
 use work_folder::work_folder;
 
+/// Size of a record's value.
 const RECORD_BYTES: usize = 100;
+/// Maximum time until an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// More than this is never read from a client that does not read its answers.
-const MAX_UNANSWERED_BYTES: usize = 64 << 20;
+/// Upper bound for the bytes that a courier accepts from a client that does not read its answers, before it
+/// stops reading from that client (backpressure).
+const MAX_UNREAD_BYTES: usize = 64 << 20;
 
+/// Submits a message with correlation id 1.
 fn submit(stream: &mut TcpStream, topic: &str) {
     stream.write_all(&produce_request(1, topic, RECORD_BYTES)).unwrap();
 }
@@ -39,12 +44,15 @@
     kafka::read_reply(stream, &mut frames).expect("closed instead of answered")
 }
 
+/// The Kafka error code of the next answer.
 fn answer_code(stream: &mut TcpStream) -> i16 {
     answer(stream).parts[0].code
 }
 
+/// A courier recovers settings and endpoint list from its snapshot after SIGKILL. Invalid documents are
+/// rejected.
 #[test]
-fn settings_and_endpoint_list_put_by_call_survive_a_kill() {
+fn settings_and_endpoint_list_survive_a_kill() {
     let dir = work_folder("snapshot");
     let endpoint = SilentEndpoint::listen();
     let mut courier = Courier::start(&dir);
@@ -73,14 +81,14 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// A courier that drains while a client waits for the answer to a message.
+/// A courier in its graceful shutdown, with a client that waits for the answer to a message.
 struct Draining {
     courier: Courier,
     client: TcpStream,
 }
 
 impl Draining {
-    /// Starts a courier, submits a message that no endpoint answers, and sends the first signal.
+    /// Starts a courier, submits a message that no endpoint answers, and sends the first SIGTERM.
     fn start(dir: &Path, endpoint: &SilentEndpoint) -> Draining {
         let courier = Courier::start(dir);
         courier.configure(endpoint.address);
@@ -102,7 +110,7 @@
     let endpoint = SilentEndpoint::listen();
     let mut draining = Draining::start(&dir.join("first"), &endpoint);
     let code = answer_code(&mut draining.client);
-    assert_eq!(code, codes::NOT_ENOUGH_REPLICAS, "idempotent: rejected at the bound");
+    assert_eq!(code, codes::NOT_ENOUGH_REPLICAS, "an idempotent message is rejected at the drain timeout");
     assert_eq!(draining.exit_code(), Some(0));
     assert!(TcpStream::connect(draining.courier.kafka).is_err());
     let mut draining = Draining::start(&dir.join("second"), &endpoint);
@@ -112,19 +120,22 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Sends requests without reading the answers until the courier stops reading; returns the bytes that were
-/// sent.
-fn send_until_not_read(stream: &mut TcpStream) -> usize {
+/// Sends batches of requests without reading the answers, until a write blocks for 300 ms because the courier
+/// has stopped reading, or [`MAX_UNREAD_BYTES`] are sent. Returns the bytes of the batches that were sent
+/// completely.
+fn send_until_blocked(stream: &mut TcpStream) -> usize {
     stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let request = client::metadata(1, "t", 9, None).unwrap();
     let requests = request.repeat(1000);
     let mut sent = 0;
-    while sent < MAX_UNANSWERED_BYTES && stream.write_all(&requests).is_ok() {
+    while sent < MAX_UNREAD_BYTES && stream.write_all(&requests).is_ok() {
         sent += requests.len();
     }
     sent
 }
 
+/// One client sends half a request, one never reads its answers, and one sends no Kafka frame. A fourth
+/// client is answered in time.
 #[test]
 fn slow_and_malformed_clients_delay_no_other_client() {
     let dir = work_folder("clients");
@@ -135,11 +146,14 @@
     let mut sends_half = courier.connect();
     sends_half.write_all(&request[..20]).unwrap();
     let mut never_reads = courier.connect();
-    assert!(send_until_not_read(&mut never_reads) < MAX_UNANSWERED_BYTES, "it is not read without end");
+    assert!(
+        send_until_blocked(&mut never_reads) < MAX_UNREAD_BYTES,
+        "the courier reads without bound from a client that reads no answers"
+    );
     let mut malformed = courier.connect();
     malformed.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     malformed.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    assert!(matches!(malformed.read(&mut [0; 10]), Ok(0) | Err(_)), "closed");
+    assert!(matches!(malformed.read(&mut [0; 10]), Ok(0) | Err(_)), "not closed");
     // Another client is answered in time.
     let started = Instant::now();
     let mut stream = courier.connect();
@@ -152,16 +166,17 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
+/// 60 connections to a courier with 40 file descriptors make `accept` fail with `EMFILE`.
 #[test]
 fn courier_out_of_file_descriptors_recovers() {
     let dir = work_folder("files");
     let endpoint = SilentEndpoint::listen();
     let courier = Courier::start_with_file_limit(&dir, 40);
     courier.configure(endpoint.address);
-    let crowd: Vec<TcpStream> = (0..60).map(|_| courier.connect()).collect();
+    let connections: Vec<TcpStream> = (0..60).map(|_| courier.connect()).collect();
     std::thread::sleep(Duration::from_millis(300));
-    drop(crowd);
-    // Once descriptors are free again, clients are accepted and answered.
+    drop(connections);
+    // The descriptors are free again.
     let mut stream = courier.connect();
     submit(&mut stream, "order");
     let code = answer_code(&mut stream);
@@ -170,6 +185,7 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
+/// The command `up` runs couriers and endpoints that deliver a message, until SIGTERM.
 #[test]
 fn stack_brought_up_delivers_and_ends_on_a_signal() {
     let mut child = Command::new(PROGRAM)
@@ -191,40 +207,49 @@
     assert_eq!(exit_code(&mut child, Duration::from_secs(10)), Some(0));
 }
 
-/// The faults of a courier whose files are in `dir`, none at first.
+/// Controls the faults of a courier whose files are in `dir`; no fault is set.
 fn faults_of(dir: &Path) -> FaultControl {
     std::fs::create_dir_all(dir).unwrap();
     FaultControl::new(&dir.join("faults"), dir, 1).unwrap()
 }
 
+/// While system calls on sockets fail, a message is answered; after them, the same connection is still
+/// usable.
 #[test]
-fn calls_on_sockets_fail_for_a_moment_each_message_gets_its_answer_on_its_connection() {
+fn messages_are_answered_on_their_connection_despite_socket_faults() {
     let dir = work_folder("socket-faults");
     let faults = faults_of(&dir);
     let endpoint = SilentEndpoint::listen();
     let courier = Courier::start_under(&dir, &faults);
     courier.configure(endpoint.address);
-    let moments = [
+    // Each fault with its rate: the probability that a call fails is rate / 255.
+    let fault_sets = [
         [(Fault::SendInterrupted, 200), (Fault::SendShort, 200)],
         [(Fault::SendNoBuffers, 128), (Fault::ReceiveNoBuffers, 128)],
         [(Fault::ReceiveInterrupted, 200), (Fault::ReceiveShort, 200)],
         [(Fault::Socket, 255), (Fault::Connect, 255)],
         [(Fault::ConnectInterrupted, 255), (Fault::SocketStatus, 160)],
     ];
-    for moment in moments {
+    for fault_set in fault_sets {
         let mut client = courier.connect();
-        moment.iter().for_each(|&(fault, rate)| faults.set(fault, rate));
+        fault_set.iter().for_each(|&(fault, rate)| faults.set(fault, rate));
         submit(&mut client, "order");
         let code = answer_code(&mut client);
-        assert_ne!(code, codes::NONE, "{moment:?}: the endpoint answers nothing");
+        assert_ne!(code, codes::NONE, "{fault_set:?}: served, though the endpoint never answers");
         faults.clear();
         submit(&mut client, "order");
-        assert_ne!(answer_code(&mut client), codes::NONE, "{moment:?}: the connection goes on");
+        assert_ne!(
+            answer_code(&mut client),
+            codes::NONE,
+            "after {fault_set:?}: served, though the endpoint never answers"
+        );
     }
 }
 
+/// A courier that cannot read its snapshot or open sockets at its start tries again until it can, and does
+/// not start without the settings in the snapshot.
 #[test]
-fn calls_fail_at_the_start_courier_waits_and_keeps_its_snapshot() {
+fn courier_waits_for_its_snapshot_while_calls_fail_at_its_start() {
     let dir = work_folder("start-faults");
     let faults = faults_of(&dir);
     let endpoint = SilentEndpoint::listen();
@@ -241,10 +266,14 @@
             is_cleared.store(true, Ordering::SeqCst);
             faults.clear();
         });
-        // By this thread: a courier ends with the thread that started it.
+        // Not in a scoped thread: the kernel kills a courier when the thread that started it ends
+        // (`PR_SET_PDEATHSIG`).
         Courier::start_under(&dir, &faults)
     });
-    assert!(is_cleared.load(Ordering::SeqCst), "ready while it could not read its snapshot");
-    assert!(at_start.iter().any(|&fault| faults.injected(fault) > 0), "no call has failed");
-    assert!(courier.get("/list").contains(&endpoint.address.to_string()), "the snapshot is in force");
+    assert!(is_cleared.load(Ordering::SeqCst), "ready before it could read its snapshot");
+    assert!(at_start.iter().any(|&fault| faults.injected(fault) > 0), "no fault was injected");
+    assert!(
+        courier.get("/list").contains(&endpoint.address.to_string()),
+        "the endpoint list of the snapshot is not in force"
+    );
 }
--- a/crates/testbed/tests/rules.rs
+++ b/crates/testbed/tests/rules.rs
@@ -1,7 +1,7 @@
-//! Each invariant on real sockets, under the fault that threatens it.
+//! Each invariant on real sockets, under the faults that are most likely to break it.
 //!
-//! Couriers are processes, clients and endpoints are simulated, and the checks run on what went over the
-//! sockets.
+//! Couriers are processes; clients and endpoints are simulated by the scenario runner. The conformance checks
+//! run on the recorded messages, calls and answers.
 
 #[path = "support/work_folder.rs"]
 mod work_folder;
@@ -15,7 +15,8 @@
 use std::sync::{Mutex, PoisonError};
 use work_folder::work_folder;
 
-/// Held during a run, so that the load of the machine does not depend on the other tests.
+/// Held during a run: tests run one after the other, since parallel ones would compete for CPU time and delay
+/// each other's messages.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 const SEED: u64 = 7;
@@ -78,8 +79,8 @@
 tells_wait = 1.0
 "#;
 
-/// Runs the fleet of this file with faults and asserts that every invariant is kept and most messages are
-/// served.
+/// Runs the fleet of this file with faults. Asserts that every invariant is kept, and that more than half of
+/// the messages' priority weight is delivered.
 fn run_scenario(name: &str, faults: &str) -> Report {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let scenario = Scenario::parse(&format!("name = \"{name}\"\n{FLEET}{faults}")).unwrap();
@@ -94,7 +95,7 @@
     report
 }
 
-/// Asserts that the run tested a rule in at least this many cases.
+/// Asserts that the run tested the rule of this number, from 1, in at least this many cases.
 fn assert_checked(report: &Report, rule: usize, min_cases: u64) {
     let cases = report.rules[rule - 1].checked;
     assert!(cases >= min_cases, "rule {rule} was tested in {cases} cases only");
--- a/crates/testbed/tests/support/collectd_packets.rs
+++ b/crates/testbed/tests/support/collectd_packets.rs
@@ -10,18 +10,20 @@
 const TYPE_PART: u16 = 4;
 const VALUES_PART: u16 = 6;
 const HIGH_RESOLUTION_TIME_PART: u16 = 8;
-/// The number of values, then the type of each: three gauges.
+/// The start of a values part: the number of values, 3, then the type of each, 1 for a gauge.
 const THREE_GAUGES: [u8; 5] = [0, 3, 1, 1, 1];
-/// Type and length of a signature part with a user name of five bytes.
+/// The type of a signature part, 0x0200, and its length in bytes: 4 for this header, 32 for the HMAC-SHA-256
+/// and 5 for the user name.
 const SIGNATURE_HEADER: [u8; 4] = [0x02, 0x00, 0x00, 0x29];
 const USER: &[u8] = b"alice";
 
+/// A part: type and length of the whole part, both big-endian, then the body.
 fn part(kind: u16, body: &[u8]) -> Vec<u8> {
     let length = (body.len() + PART_HEADER_BYTES) as u16;
     [&kind.to_be_bytes()[..], &length.to_be_bytes(), body].concat()
 }
 
-/// A packet with the load of a host over 1, 5 and 15 minutes, at the present time.
+/// A packet with the load averages of a host over 1, 5 and 15 minutes, at the current time.
 pub fn load_packet(load: [f64; 3]) -> Vec<u8> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64;
     let time = high_resolution(now).to_be_bytes();
@@ -36,7 +38,7 @@
     .concat()
 }
 
-/// A packet signed by the user `alice` with a key.
+/// A packet signed by the user `alice`: the HMAC-SHA-256, under `key`, of the user name and the packet.
 pub fn signed_by_alice(packet: &[u8], key: &str) -> Vec<u8> {
     let mut mac = <hmac::Hmac<sha2::Sha256> as Mac>::new_from_slice(key.as_bytes()).unwrap();
     mac.update(USER);
--- a/crates/testbed/tests/support/counting_client.rs
+++ b/crates/testbed/tests/support/counting_client.rs
@@ -6,9 +6,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// Size of a record's value.
 const RECORD_BYTES: usize = 50;
+/// Maximum time until an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The topics that [`AnswerCounts::deliver`] submits messages to, in turn.
+/// The topics, and so the classes, of the messages that [`AnswerCounts::deliver`] submits, in round-robin
+/// order.
 const TOPICS: [&str; 2] = ["order", "query"];
 
 /// A client that submits messages on one connection.
@@ -31,23 +34,27 @@
         self.stream.write_all(&request).unwrap();
     }
 
-    /// The code of the next answer, or `None` if the connection has ended.
+    /// The Kafka error code of the next answer. `None` if the connection has ended or nothing arrived in
+    /// time.
     pub fn next_answer(&mut self) -> Option<i16> {
         let reply = read_reply(&mut self.stream, &mut self.frames)?;
         Some(reply.parts[0].code)
     }
 }
 
-/// The messages of clients, counted by their answers.
+/// Counts of clients' messages, by the answer.
 #[derive(Debug, Default)]
 pub struct AnswerCounts {
+    /// All submitted messages.
     pub submitted: u64,
+    /// Messages whose answer says that they were served.
     pub served: u64,
+    /// Messages whose answer has an error code: rejected or failed.
     pub other: u64,
 }
 
 impl AnswerCounts {
-    /// Submits messages one after the other and counts their answers.
+    /// Submits messages on a new connection, each after the last is answered, and counts the answers.
     pub fn deliver(&mut self, courier: SocketAddr, messages: usize) {
         let mut client = Client::new(courier);
         for number in 0..messages {
@@ -56,7 +63,7 @@
             match client.next_answer() {
                 Some(codes::NONE) => self.served += 1,
                 Some(_) => self.other += 1,
-                None => panic!("no answer"),
+                None => panic!("a message was not answered"),
             }
         }
     }
--- a/crates/testbed/tests/support/kafka.rs
+++ b/crates/testbed/tests/support/kafka.rs
@@ -1,4 +1,4 @@
-//! Kafka requests and replies as a client sends and reads them.
+//! Kafka requests that a client sends and replies that it reads.
 
 use linnetcart_kafka::client::{self, ProduceReply, ProduceTarget};
 use linnetcart_kafka::{Frames, Record};
@@ -6,11 +6,12 @@
 use std::net::TcpStream;
 
 const PRODUCE_VERSION: i16 = 9;
+/// The value of `acks` with which a Produce request is acknowledged once every replica has the records.
 const ALL_REPLICAS: i16 = -1;
 const PRODUCE_TIMEOUT_MS: i32 = 5000;
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// A Produce request with one record of this size, for partition 0.
+/// A Produce request for partition 0 with one record, whose value has this size.
 pub fn produce_request(correlation: i32, topic: &str, record_bytes: usize) -> Vec<u8> {
     let record = Record { value: Some(vec![b'v'; record_bytes].into()), ..Record::default() };
     let target = ProduceTarget { topic, partition: 0, records: &[record] };
--- a/crates/testbed/tests/support/reporting_courier.rs
+++ b/crates/testbed/tests/support/reporting_courier.rs
@@ -1,4 +1,4 @@
-//! A courier process that reports to receivers of the test, and the values that they received.
+//! A courier process that reports to a test's receivers, and the values that the receivers have.
 
 use super::control;
 use linnetcart_telemetry::stream::Stream;
@@ -10,21 +10,23 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// Maximum time until a condition holds.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two evaluations of a condition.
 const CONDITION_POLL: Duration = Duration::from_millis(20);
 
-/// An address that leaves the port to the system.
+/// A loopback address with port 0, for which the system chooses a free port.
 pub fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// A receiver for Graphite's forms alone.
+/// A receiver for Graphite's protocols, without collectd's.
 pub fn graphite_receiver() -> ReportReceiver {
     let addresses = ListenAddresses { graphite: Some(any_port()), ..ListenAddresses::default() };
     ReportReceiver::start(addresses, None).unwrap()
 }
 
-/// The address of a receiver for Graphite's forms, as settings have it.
+/// The Graphite address of a receiver, as telemetry settings write it.
 pub fn graphite_address(receiver: &ReportReceiver) -> String {
     receiver.graphite.unwrap().to_string()
 }
@@ -37,7 +39,7 @@
     CourierProcess::start(&options).unwrap()
 }
 
-/// Puts settings and an endpoint list with a destination for each endpoint.
+/// Gives a courier settings, and an endpoint list with a destination for each endpoint.
 pub fn configure(courier: &CourierProcess, endpoints: &MessageReceivers) {
     control::put(courier.control, "/settings", &settings());
     control::put(courier.control, "/list", &endpoint_list(&endpoints.addresses));
@@ -74,31 +76,31 @@
     serde_json::from_str(&reply.body).unwrap()
 }
 
-/// Waits until a condition holds and panics if it does not in time.
+/// Waits until a condition holds, and panics if it does not within 20 seconds.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let wait_until = Instant::now() + CONDITION_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < wait_until, "{what} did not come");
+        assert!(Instant::now() < wait_until, "{what} did not arrive within {CONDITION_TIMEOUT:?}");
         std::thread::sleep(CONDITION_POLL);
     }
 }
 
-/// Shuts a courier down gracefully and asserts that it exits cleanly.
+/// Shuts a courier down with SIGTERM and asserts that it exits with code 0 within 10 seconds.
 pub fn shut_down(mut courier: CourierProcess) {
     courier.terminate();
     assert_eq!(courier.wait(Duration::from_secs(10)), Some(0));
 }
 
-/// The receiver that a report was sent to; series have other names in each.
+/// The protocol of a report; it determines the names of series.
 #[derive(Clone, Copy, Debug)]
 pub enum ReceiverKind {
     Graphite,
     Collectd,
 }
 
-/// The last value of a metric of the courier that was received.
+/// The last received value of a metric of the courier.
 ///
-/// `subject` is what the metric is of, such as `courier`, `class.order` or `dest.Bank_Lodz`.
+/// `subject` is the entity that the metric describes, such as `courier`, `class.order` or `dest.Bank_Lodz`.
 pub fn last_value(stream: &Stream, subject: &str, metric: &str, kind: ReceiverKind) -> Option<f64> {
     let name = match kind {
         ReceiverKind::Graphite => format!("linnetcart.reports.edge.4.{subject}.{metric}"),
--- a/crates/testbed/tests/support/started_courier.rs
+++ b/crates/testbed/tests/support/started_courier.rs
@@ -1,4 +1,4 @@
-//! A courier that is started by hand, as an operator does, and an endpoint for it.
+//! A courier that is started from a shell, as an operator does, and an endpoint for it.
 
 use super::control;
 use linnetcart_fault_injection::FaultControl;
@@ -12,9 +12,10 @@
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_linnetcart-testbed");
 const COURIER_ARGUMENTS: &str =
     "edge --kafka 127.0.0.1:0 --control 127.0.0.1:0 --drain-ms 1500 --log json --state-dir";
+/// Time between two checks whether a process has exited.
 const EXIT_POLL: Duration = Duration::from_millis(10);
 
-/// A courier process; dropping it kills it.
+/// A courier process; dropping it kills it with SIGKILL.
 pub struct Courier {
     pub child: Child,
     pub kafka: SocketAddr,
@@ -34,12 +35,12 @@
         Courier::start_by_shell(dir, "")
     }
 
-    /// Starts a courier that can have this many files open.
+    /// Starts a courier with this limit of file descriptors (`RLIMIT_NOFILE`).
     pub fn start_with_file_limit(dir: &Path, files: u32) -> Courier {
         Courier::start_by_shell(dir, &format!("ulimit -n {files}; "))
     }
 
-    /// Starts a courier into whose system calls faults are injected.
+    /// Starts a courier under the fault injection shim, which makes system calls fail as `faults` says.
     pub fn start_under(dir: &Path, faults: &FaultControl) -> Courier {
         let mut command = courier_command(dir, "");
         command.envs(faults.environment());
@@ -57,16 +58,18 @@
         Courier { kafka: address("kafka"), control: address("control"), child }
     }
 
-    /// Puts settings and a list with one endpoint.
+    /// Gives the courier settings, and an endpoint list with one endpoint.
     pub fn configure(&self, endpoint: SocketAddr) {
         control::put(self.control, "/settings", &settings());
         control::put(self.control, "/list", &endpoint_list(1, endpoint));
     }
 
+    /// Sends a document to the control interface with PUT and returns the status code of the reply.
     pub fn put_status(&self, path: &str, document: &Value) -> u16 {
         control::request(self.control, "PUT", path, &document.to_string()).status
     }
 
+    /// The body of a control interface's reply to GET.
     pub fn get(&self, path: &str) -> String {
         control::request(self.control, "GET", path, "").body
     }
@@ -76,14 +79,14 @@
     }
 }
 
-/// The command of a courier, which a shell starts after `preparation`.
+/// The command of a courier. A shell runs `preparation` and is then replaced by the courier (`exec`).
 fn courier_command(dir: &Path, preparation: &str) -> Command {
     let mut command = Command::new("sh");
     command.arg("-c").arg(format!("{preparation}exec {PROGRAM} {COURIER_ARGUMENTS} {}", dir.display()));
     command
 }
 
-/// The line of JSON that a program prints when it is ready.
+/// Reads the line of JSON that a program prints when it is ready.
 pub fn ready_line(child: &mut Child) -> Value {
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
@@ -111,7 +114,8 @@
     }]})
 }
 
-/// An endpoint that accepts connections and never answers.
+/// An endpoint that never answers: the kernel completes connections to its listener, which does not accept
+/// them.
 pub struct SilentEndpoint {
     _listener: TcpListener,
     pub address: SocketAddr,
@@ -130,7 +134,8 @@
     assert!(status.success());
 }
 
-/// Waits for the end of a process and returns its exit code.
+/// Waits until a process exits and returns its exit code, or `None` if a signal killed it. Panics after the
+/// timeout.
 pub fn exit_code(child: &mut Child, timeout: Duration) -> Option<i32> {
     let wait_until = Instant::now() + timeout;
     while Instant::now() < wait_until {
@@ -139,5 +144,5 @@
         }
         std::thread::sleep(EXIT_POLL);
     }
-    panic!("the process did not end");
+    panic!("the process did not exit within {timeout:?}");
 }
--- a/crates/testbed/tests/telemetry.rs
+++ b/crates/testbed/tests/telemetry.rs
@@ -1,5 +1,5 @@
-//! Reports of a real courier to receivers on sockets: the values that receivers end with agree with what
-//! clients counted.
+//! Reports of a courier process to receivers on sockets: the last counts that receivers have agree with the
+//! answers that clients counted.
 
 #[path = "support/collectd_packets.rs"]
 mod collectd_packets;
@@ -33,8 +33,9 @@
 use std::time::Duration;
 use work_folder::work_folder;
 
-/// Delivers messages while the courier is killed three times right after its last answer, and while the
-/// receiver does not listen.
+/// Delivers messages by a courier that is killed once after its first report and three times right after its
+/// last answer, and then while the receiver does not listen. Returns once the receiver has the count of all
+/// submitted messages.
 fn deliver_over_faults(
     dir: &Path,
     endpoints: &MessageReceivers,
@@ -46,8 +47,8 @@
     configure(&courier, endpoints);
     control::put(courier.control, "/telemetry", telemetry);
     counts.deliver(courier.kafka, 40);
-    wait_until("a report", || receiver.stream().points > 0);
-    // Dropping a courier kills it.
+    wait_until("the first report", || receiver.stream().points > 0);
+    // Dropping a courier kills it with SIGKILL.
     drop(courier);
     for _ in 0..3 {
         let courier = start(dir);
@@ -61,13 +62,14 @@
     receiver.behave(Behaviour::Reads);
     counts.deliver(courier.kafka, 10);
     let submitted = counts.submitted as f64;
-    wait_until("the last count", || {
+    wait_until("the count of all submitted messages", || {
         last_value(&receiver.stream(), "courier", "taken", ReceiverKind::Graphite) == Some(submitted)
     });
     shut_down(courier);
     counts
 }
 
+/// Asserts that the last counts in the reports are the clients' counts, per courier, destination and class.
 fn assert_counts(stream: &Stream, counts: &AnswerCounts, kind: ReceiverKind) {
     let value = |subject: &str, metric: &str| last_value(stream, subject, metric, kind).unwrap_or(0.0);
     let submitted = counts.submitted as f64;
@@ -81,44 +83,53 @@
     assert!(value("dest.Bank_Lodz", "latency_p50_ms") > 0.0 && value("courier", "slots") == 16.0);
 }
 
-/// A form of Graphite's with a security of collectd's.
-struct ReportForms {
+/// How a courier reports to Graphite and collectd.
+struct ReportProtocols {
+    /// The Graphite protocol, as the settings name it.
     graphite: &'static str,
+    /// The security of collectd packets, as in the settings.
     collectd_security: Value,
+    /// The security that the receiver requires of collectd packets.
     require: Require,
 }
 
+/// Guards against reported counts that fall, lose answered messages or count them twice, when a courier
+/// restarts from its counter log or reconnects to a receiver.
 #[test]
-fn receivers_over_kills_and_an_outage_end_with_what_clients_counted() {
+fn reported_counts_match_clients_after_kills_and_a_receiver_outage() {
     let dir = work_folder("ends");
     let endpoints = MessageReceivers::start(ReceiverCounts::serving(1)).unwrap();
     let user = json!({"user": "alice", "key": "secret"});
     let cases = [
-        ReportForms { graphite: "plaintext", collectd_security: json!("none"), require: Require::Nothing },
-        ReportForms {
+        ReportProtocols {
+            graphite: "plaintext",
+            collectd_security: json!("none"),
+            require: Require::Nothing,
+        },
+        ReportProtocols {
             graphite: "pickle",
             collectd_security: json!({"sign": user}),
             require: Require::Signed,
         },
-        ReportForms {
+        ReportProtocols {
             graphite: "pickle",
             collectd_security: json!({"encrypt": user}),
             require: Require::Encrypted,
         },
     ];
-    for (index, forms) in cases.iter().enumerate() {
+    for (index, protocols) in cases.iter().enumerate() {
         let addresses = ListenAddresses {
             graphite: Some(any_port()),
             collectd: Some(any_port()),
             users: BTreeMap::from([("alice".to_owned(), vec!["secret".to_owned()])]),
-            require: forms.require,
+            require: protocols.require,
         };
         let receiver = ReportReceiver::start(addresses, None).unwrap();
         let collectd_address = receiver.collectd.unwrap().to_string();
         let telemetry = json!({
             "interval_s": 1, "names": {"0": "Bank Łódź"},
-            "graphite": {"address": graphite_address(&receiver), "form": forms.graphite},
-            "collectd": {"address": collectd_address, "security": forms.collectd_security},
+            "graphite": {"address": graphite_address(&receiver), "form": protocols.graphite},
+            "collectd": {"address": collectd_address, "security": protocols.collectd_security},
         });
         let counts = deliver_over_faults(&dir.join(index.to_string()), &endpoints, &receiver, &telemetry);
         let stream = receiver.stream();
@@ -129,7 +140,8 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Submits messages, kills the courier after some of the answers, and returns how many answers said served.
+/// Submits messages, kills the courier after some of the answers, and returns how many answers said that a
+/// message was served, with those that had been sent before the kill.
 fn kill_under_load(courier: CourierProcess, messages: u64, answers_before_kill: u64) -> u64 {
     let mut client = Client::new(courier.kafka);
     for _ in 0..messages {
@@ -146,6 +158,8 @@
     served
 }
 
+/// Guards against an answer that is sent before its counts are in the counter log: after a kill, the reports
+/// would lack it for good. Reports may count messages whose answers were lost in the kill.
 #[test]
 fn courier_killed_under_load_reports_no_less_than_clients_received() {
     let dir = work_folder("middle");
@@ -179,7 +193,7 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Asserts that settings of the reports are rejected, and returns the field that the answer names.
+/// Asserts that telemetry settings are rejected, and returns the field that the answer names.
 fn rejected_field(courier: &CourierProcess, telemetry: &Value) -> String {
     let reply = control::request(courier.control, "PUT", "/telemetry", &telemetry.to_string());
     assert_eq!(reply.status, 422, "{}", reply.body);
@@ -187,9 +201,11 @@
     body["error"]["field"].as_str().unwrap().to_owned()
 }
 
+/// A receiver that stops reading or resets its connections does not affect deliveries. A new receiver in the
+/// settings receives the complete counts without a restart of the courier.
 #[test]
-fn receiver_that_never_reads_or_resets_harms_no_delivery_and_is_replaced_without_a_restart() {
-    let dir = work_folder("deaf");
+fn unresponsive_receiver_harms_no_delivery_and_is_replaced_without_a_restart() {
+    let dir = work_folder("unresponsive");
     let endpoints = MessageReceivers::start(ReceiverCounts::serving(1)).unwrap();
     let first = graphite_receiver();
     let second = graphite_receiver();
@@ -212,11 +228,11 @@
     counts.deliver(courier.kafka, 100);
     assert_eq!((counts.served, counts.other), (300, 0));
     control::put(courier.control, "/telemetry", &telemetry_to(&second));
-    wait_until("the second receiver's report", || {
+    wait_until("the complete count at the second receiver", || {
         last_value(&second.stream(), "courier", "taken", ReceiverKind::Graphite) == Some(300.0)
     });
     drop(courier);
-    // The settings of the reports are in the snapshot.
+    // The telemetry settings are recovered from the snapshot.
     let courier = start(&dir);
     let settings = get_json(&courier, "/telemetry");
     assert_eq!(settings["in_force"]["graphite"]["address"], graphite_address(&second));
@@ -224,13 +240,15 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// A UDP address that was free a moment ago.
+/// A UDP address that was free when it was looked up; the courier binds it later.
 fn free_udp_address() -> SocketAddr {
     UdpSocket::bind(any_port()).unwrap().local_addr().unwrap()
 }
 
+/// A courier that listens for the host's collectd accepts packets signed with any key of the user. Packets
+/// that are malformed, unsigned or signed with another key are only counted.
 #[test]
-fn host_figures_are_accepted_and_garbage_is_only_counted() {
+fn host_metrics_are_accepted_and_invalid_packets_are_only_counted() {
     let dir = work_folder("host");
     let endpoints = MessageReceivers::start(ReceiverCounts::serving(1)).unwrap();
     let courier = start(&dir);
@@ -240,8 +258,8 @@
     let telemetry = json!({"listen": {"address": address.to_string(), "require": "signed", "users": users}});
     control::put(courier.control, "/telemetry", &telemetry);
     let shown = get_json(&courier, "/telemetry");
-    assert!(!shown.to_string().contains("old"), "keys are not shown: {shown}");
-    // Settings that were read without their keys can be put back; the keys stay as they were.
+    assert!(!shown.to_string().contains("old"), "the settings show a key: {shown}");
+    // Settings that were read without their keys can be written back; the courier keeps the keys.
     control::put(courier.control, "/telemetry", &shown["in_force"]);
     let host_collectd = UdpSocket::bind(any_port()).unwrap();
     let send = |packet: &[u8]| host_collectd.send_to(packet, address).unwrap();
@@ -252,9 +270,9 @@
     send(&signed_by_alice(&load_packet([8.0, 8.0, 8.0]), "guessed"));
     send(&signed_by_alice(&load_packet([1.5, 1.0, 0.5]), "old"));
     let host = || get_json(&courier, "/status")["telemetry"]["host"].clone();
-    wait_until("the load", || host()["load"] == json!([1.5, 1.0, 0.5]));
+    wait_until("the load signed with the old key", || host()["load"] == json!([1.5, 1.0, 0.5]));
     send(&signed_by_alice(&load_packet([2.5, 1.0, 0.5]), "new"));
-    wait_until("the load under the new key", || host()["load"] == json!([2.5, 1.0, 0.5]));
+    wait_until("the load signed with the new key", || host()["load"] == json!([2.5, 1.0, 0.5]));
     assert!(host()["bad"].as_u64() >= Some(200), "{}", host());
     let mut counts = AnswerCounts::default();
     counts.deliver(courier.kafka, 20);
