--- a/crates/testbed/src/message_receivers.rs
+++ b/crates/testbed/src/message_receivers.rs
@@ -49,7 +49,7 @@
     /// Starts the endpoints and waits until they listen.
     ///
     /// # Errors
-    /// Fails if the endpoints do not listen within ten seconds.
+    /// Fails if a port cannot be bound or the endpoints do not listen within ten seconds.
     pub fn start(counts: ReceiverCounts) -> anyhow::Result<MessageReceivers> {
         let stop = Arc::new(AtomicBool::new(false));
         let stop_flag = Arc::clone(&stop);
@@ -59,8 +59,9 @@
             let _ = address_sender.send(receivers.addresses());
             receivers.run(&stop_flag);
         });
-        let addresses =
-            address_receiver.recv_timeout(STARTUP_TIMEOUT).context("endpoints do not listen after 10 s")?;
+        let addresses = address_receiver
+            .recv_timeout(STARTUP_TIMEOUT)
+            .context("the endpoints cannot listen, or not within 10 s")?;
         Ok(MessageReceivers { addresses, stop, thread: Some(thread) })
     }
 }
--- a/crates/testbed/src/report_receiver.rs
+++ b/crates/testbed/src/report_receiver.rs
@@ -33,7 +33,7 @@
     NeverReads,
     /// Accepts connections and resets each one (TCP RST) when data arrives on it.
     Resets,
-    /// Does not listen, so that connecting is refused.
+    /// Does not listen, so that connecting is refused; open connections are reset.
     Absent,
 }
 
@@ -47,8 +47,8 @@
 /// The addresses that a receiver listens on, and the packets that it accepts.
 #[derive(Clone, Debug, Default)]
 pub struct ListenAddresses {
-    /// TCP address for Graphite's plaintext and pickle protocols; the first byte of a connection tells which
-    /// of them it uses.
+    /// TCP address for Graphite's plaintext and pickle protocols. The first byte of a line or frame tells
+    /// which of them it is, since a frame begins with a zero byte.
     pub graphite: Option<SocketAddr>,
     /// UDP address for packets of collectd's binary protocol.
     pub collectd: Option<SocketAddr>,
