--- a/bench-adapter/src/frame.rs
+++ b/bench-adapter/src/frame.rs
@@ -26,8 +26,9 @@
     pub(crate) records: Vec<u8>,
 }
 
-/// One record of a batch.
+/// One record of a batch: its code, and its encoded fields without the length that precedes them.
 pub(crate) struct Record<'a> {
+    /// The kind of record, which determines the format of the fields.
     pub(crate) code: u8,
     pub(crate) fields: &'a [u8],
 }
--- a/crates/edge/src/core/clients/pending.rs
+++ b/crates/edge/src/core/clients/pending.rs
@@ -64,8 +64,9 @@
 }
 
 impl PendingProduce {
-    /// Encodes the response. Its throttle time is the longest Retry-After of the partitions, rounded up to
-    /// milliseconds.
+    /// Encodes the Produce response. The throttle time in it is the longest Retry-After of the partitions,
+    /// rounded up to milliseconds. `served_records`, the number of records served before, is the offset of
+    /// the first served record and grows by the number of served records.
     fn into_response(self, served_records: &mut i64) -> Bytes {
         let mut retry_after = 0;
         let mut results = Vec::with_capacity(self.partitions.len());
--- a/crates/edge/src/core/deadline/tests.rs
+++ b/crates/edge/src/core/deadline/tests.rs
@@ -8,7 +8,7 @@
 const NOW: Time = 1000 * S;
 const WALL: Time = 50_000 * S;
 
-/// Readings at `NOW` without a wall clock. The message may have arrived since `earliest_arrival`.
+/// Clock readings at `NOW` without a wall clock. The message arrived at `earliest_arrival` or later.
 fn readings(earliest_arrival: Time) -> ClockReadings {
     let mut readings = ClockReadings::new(NOW);
     readings.set_earliest_arrival(earliest_arrival);
--- a/crates/edge/src/core/delivery/calls.rs
+++ b/crates/edge/src/core/delivery/calls.rs
@@ -20,7 +20,8 @@
     pub(super) endpoint: u32,
     /// The connection that carries it, once it has been dispatched.
     pub(super) connection: Option<UpstreamId>,
-    /// The messages whose attempts have no outcome. An abandoned call has none left.
+    /// The messages whose attempts have no outcome yet. Empty in an abandoned call: every attempt has its
+    /// outcome, but the response is still outstanding.
     pub(super) messages: Vec<OutgoingMessage>,
     /// The attempt that finished last.
     pub(super) last_finished: AttemptId,
--- a/crates/edge/src/core/delivery/connections.rs
+++ b/crates/edge/src/core/delivery/connections.rs
@@ -33,12 +33,14 @@
     pub(super) waiting_calls: Vec<CallId>,
     /// How many of the written calls are abandoned.
     pub(super) abandoned_calls: usize,
-    /// When its last call was dispatched, or when it last ceased to carry awaited calls.
+    /// Monotonic time of the connection's creation, of its last dispatch of a call or of the last change that
+    /// left it without awaited calls, whichever is latest.
     pub(super) last_used: Time,
-    /// When it is next checked for a timeout: by the connect timeout, and once it is ready by the idle
-    /// timeout.
+    /// When the connection is next checked for a timeout: the connect timeout until the connection is ready,
+    /// the idle timeout after that.
     timeout_at: Time,
-    /// The time under which the idle index of its endpoint has it, or `None` if it is not idle.
+    /// The time under which the connection is in its endpoint's index of idle connections, or `None` if it is
+    /// not idle.
     idle_since: Option<Time>,
 }
 
--- a/crates/edge/src/core/delivery/responses.rs
+++ b/crates/edge/src/core/delivery/responses.rs
@@ -75,7 +75,8 @@
         Ok(())
     }
 
-    /// Returns the attempts of a call whose messages may not be written any more.
+    /// Returns the attempts of a call whose messages `may_write` no longer permits to be written to the
+    /// endpoint.
     fn stale_attempts(
         &self,
         call_id: CallId,
--- a/crates/edge/src/core/in_flight.rs
+++ b/crates/edge/src/core/in_flight.rs
@@ -155,8 +155,8 @@
         Some(begun)
     }
 
-    /// Records the outcome of an attempt. Removes its message if that is completed and this was the last
-    /// attempt in flight. Returns the state of the message.
+    /// Records the outcome of an attempt of message `number`, and returns the state of the message. Removes a
+    /// completed message once none of its attempts is in flight.
     pub(crate) fn finish_attempt(&mut self, number: u32, outcome: AttemptOutcome) -> MessageState {
         let Some(in_flight) = self.messages.get_mut(&number) else { return MessageState::Completed };
         in_flight.attempts_in_flight = in_flight.attempts_in_flight.saturating_sub(1);
--- a/crates/edge/tests/soak/endpoint.rs
+++ b/crates/edge/tests/soak/endpoint.rs
@@ -51,10 +51,11 @@
     pub served_at: Option<Instant>,
 }
 
-/// All calls of a run.
+/// The calls that reached any endpoint of a run, in order of arrival.
 pub type CallLog = Arc<Mutex<Vec<Call>>>;
 
-/// Starts an endpoint on a thread of its own and returns its address.
+/// Starts the endpoint with this number on a thread of its own and returns its address. `seed` and `number`
+/// determine the random behaviours. Each call is appended to `log`.
 pub fn start(seed: u64, number: u64, log: CallLog) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -51,7 +51,7 @@
 pub(crate) enum ConnectOutcome {
     /// The connection is established.
     Established,
-    /// The system is still connecting; the event loop reports the end of that.
+    /// The system is still connecting; the event loop reports when the connect has succeeded or failed.
     Pending,
     /// The system could not return the state of the connection; the check is repeated after a pause.
     Unknown,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -49,25 +49,26 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointEntry {
-    /// Its name, which is the same at every courier.
+    /// The endpoint's name, which is the same at every courier.
     pub name: String,
-    /// Its address.
+    /// The endpoint's address.
     pub address: String,
-    /// The name of its zone.
+    /// The name of the zone that the endpoint is in; empty if the entry states none.
     #[serde(default)]
     pub zone: String,
-    /// The name of its destination's kind.
+    /// The name of the destination's kind; empty if the entry states none.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its destination.
+    /// The number of the destination that the endpoint belongs to.
     #[serde(rename = "group")]
     pub destination: u32,
-    /// Its state.
+    /// Whether the endpoint is in service, draining or removed.
     pub status: ListedStatus,
-    /// Its rate limit, in calls per second; the settings say how accurate it is.
+    /// The endpoint's rate limit, in calls per second for all couriers together, 0 for none; the settings say
+    /// how accurate it is.
     #[serde(default, rename = "weight")]
     pub rate: f64,
-    /// The time of its last start, in milliseconds since the Unix epoch.
+    /// When the endpoint last started, in milliseconds since the Unix epoch.
     #[serde(default, rename = "since_ms")]
     pub started_at_ms: u64,
 }
@@ -94,7 +95,7 @@
     }
 }
 
-/// An event of the watch on the endpoint list: the complete list, or changes of it.
+/// An event of the watch on the endpoint list: the complete list, or changes to it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct WatchEvent {
     /// The version of the list after the event.
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -1,4 +1,5 @@
-//! Admission control: the clients whose message is not decided yet, and the HTTP responses to clients.
+//! Admission control: the clients that wait for the decision on their message, and the HTTP responses to
+//! clients.
 //!
 //! Clients are known by connection id only; connections to endpoints are not handled here.
 
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -35,9 +35,9 @@
 /// Whether received bytes can still become a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// They can; they are buffered until the next iteration.
+    /// The bytes can; they are buffered until the next iteration parses them.
     Buffered,
-    /// They cannot; the request is rejected at once. [`ClientConnections::request`] returns the reason.
+    /// The bytes cannot; the request is rejected at once. [`ClientConnections::request`] returns the reason.
     Malformed,
 }
 
--- a/crates/platform/src/core/client_connections/connection.rs
+++ b/crates/platform/src/core/client_connections/connection.rs
@@ -26,7 +26,7 @@
 /// The stage of a connection in the sequence of requests and responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientStage {
-    /// The first request was not answered yet; any part of it may have arrived, or nothing.
+    /// The first request is not answered yet; nothing, a part or all of it may have arrived.
     FirstRequest {
         /// When the connection was accepted.
         accepted_at: Time,
@@ -67,7 +67,7 @@
     pub last_byte_at: Time,
     /// The bytes of the request that is not answered yet.
     pub request: Vec<u8>,
-    /// Whether a complete request is not answered yet.
+    /// Whether a complete request has arrived and is not answered yet.
     pub awaits_answer: bool,
 }
 
--- a/crates/platform/src/core/completion.rs
+++ b/crates/platform/src/core/completion.rs
@@ -17,8 +17,8 @@
 pub enum ReportedDelivery {
     /// The message is completed as delivered.
     Delivered,
-    /// The message is completed as failed: the report arrived less than [`DEADLINE_RESOLUTION`] before its
-    /// deadline, or after it.
+    /// The message is completed as failed: the report arrived less than [`DEADLINE_RESOLUTION`] before the
+    /// message's deadline, or after it.
     TooLate,
     /// No effect: the message already had a final outcome, or is no longer in flight.
     AlreadyCompleted,
--- a/crates/platform/src/core/connection_pool.rs
+++ b/crates/platform/src/core/connection_pool.rs
@@ -150,7 +150,8 @@
         self.connected.push(id);
     }
 
-    /// Returns the attempt to which a connection is assigned.
+    /// Returns the attempt to which a connection is assigned; `None` if there is none or the connection was
+    /// removed.
     pub fn attempt_of(&self, id: ConnectionId) -> Option<AttemptId> {
         self.connections.get(&id)?.attempt
     }
--- a/crates/platform/src/core/connection_pool/connection.rs
+++ b/crates/platform/src/core/connection_pool/connection.rs
@@ -20,9 +20,12 @@
 /// Delay between a response and the reuse of its connection, so that unexpected bytes after the response
 /// close the connection instead of being read as the next response.
 const REUSE_DELAY: Time = 10 * MILLISECOND;
-/// Time limit for the rest of a response whose status line reads 200; the rest may contain a load report.
+/// Time limit for a response whose status line reads 200, from its first byte: the rest may contain a load
+/// report. At the limit, the attempt counts as served and the connection is closed. Also the time limit for
+/// the rest of a response body on a connection that is already idle.
 const SUCCESS_COMPLETION_TIMEOUT: Time = 50 * MILLISECOND;
-/// Time limit for the rest of any other response; after it, the response counts as malformed.
+/// Time limit for any other response, from its first byte. At the limit, the attempt counts as failed
+/// ([`AttemptOutcome::Error`]) and the connection is closed.
 const RESPONSE_COMPLETION_TIMEOUT: Time = 1000 * MILLISECOND;
 
 /// Time limits of the states of a connection, in nanoseconds.
--- a/crates/platform/src/core/counters.rs
+++ b/crates/platform/src/core/counters.rs
@@ -2,7 +2,7 @@
 
 use linnetcart::AttemptOutcome;
 
-/// Counters since the start of the process.
+/// Numbers of messages, requests, attempts, connects and notifications since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages accepted.
--- a/crates/platform/src/core/decisions.rs
+++ b/crates/platform/src/core/decisions.rs
@@ -14,7 +14,9 @@
     dispatcher: Dispatcher,
     /// Events since the last decision.
     events: Vec<Event>,
+    /// Monotonic time of the next decision without an event; [`Time::MAX`] for never.
     next_decision: Time,
+    /// Monotonic time at which the time limit of the initial sync ends.
     initial_sync_until: Time,
 }
 
--- a/crates/platform/src/core/deduplication.rs
+++ b/crates/platform/src/core/deduplication.rs
@@ -7,9 +7,9 @@
 use linnetcart::Time;
 use std::collections::{BTreeSet, HashMap};
 
-/// Completed ids may take 1/20 of the journal's capacity.
+/// Completed ids may take 1 / `CAPACITY_DIVISOR` of the journal's capacity in bytes.
 const CAPACITY_DIVISOR: u64 = 20;
-/// Size of one completed id in the journal.
+/// Size of the record of one completed id in the journal, in bytes.
 const BYTES_PER_ID: u64 = 40;
 
 /// Key of the expiry index: ids ordered by the time at which they expire.
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Adds an id until its expiry. Drops expired ids and, at the capacity, the ids that expire first.
+    /// Adds an id, which is kept until its expiry. Drops expired ids and, at the capacity, the ids that
+    /// expire first.
     pub fn insert(&mut self, completed: CompletedId, wall_now: Time) {
         while let Some(&next) = self.by_expiry.first() {
             if next.expires_at > wall_now && self.by_expiry.len() < self.capacity {
--- a/crates/platform/src/core/discovery/endpoint_list.rs
+++ b/crates/platform/src/core/discovery/endpoint_list.rs
@@ -31,7 +31,8 @@
 }
 
 impl ListedEndpoint {
-    /// Returns this endpoint in the form of the decision library's events. `rate` is the one of its entry.
+    /// Returns this endpoint in the form of the decision library's events. `rate` is the rate limit in the
+    /// endpoint's entry, in calls per second.
     fn event_entry(&self, number: u32, rate: f64) -> Endpoint {
         Endpoint {
             id: number,
--- a/crates/platform/src/core/effects.rs
+++ b/crates/platform/src/core/effects.rs
@@ -42,9 +42,9 @@
     WatchFailed(WatchError),
     /// No byte arrived on the watch within its silence timeout; it is reopened.
     WatchSilent,
-    /// The answer to status notifications was invalid; they are sent again.
+    /// Discovery's answer to a batch of status notifications was invalid; the notifications are sent again.
     NotificationsFailed(NotificationError),
-    /// Status notifications were not answered in time; they are sent again.
+    /// Discovery did not answer a batch of status notifications in time; the notifications are sent again.
     NotificationsTimedOut,
     /// Discovery rejected this message's notification, which is not sent again.
     NotificationRejected {
@@ -56,7 +56,7 @@
     /// An attempt was not sent, because a Retry-After of the endpoint's destination arrived while the
     /// connection was being established.
     AttemptWithheld {
-        /// The endpoint.
+        /// Number of the endpoint to which the attempt was to be sent.
         endpoint: u32,
         /// The message's id.
         message: String,
@@ -71,7 +71,7 @@
     AttemptUndone {
         /// The message's id.
         message: String,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0 for each message.
         attempt: u16,
     },
     /// A recovered message was completed as failed, because the settings no longer contain its class.
--- a/crates/platform/src/core/in_flight.rs
+++ b/crates/platform/src/core/in_flight.rs
@@ -41,7 +41,7 @@
 pub struct InFlightMessage {
     /// The message's state that the journal restores after a restart.
     pub pending: PendingMessage,
-    /// The message's deadline; monotonic time, unlike [`Message::wall_deadline`].
+    /// The message's deadline, in nanoseconds of monotonic time, unlike [`Message::wall_deadline`].
     pub deadline: Time,
     /// The message's share of [`InFlightTable::size_bytes`].
     size_bytes: u64,
@@ -75,9 +75,9 @@
 /// A new attempt of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewAttempt {
-    /// The attempt's id.
+    /// The message's number and the number of the attempt.
     pub id: AttemptId,
-    /// The message's deadline; monotonic time.
+    /// The message's deadline, in nanoseconds of monotonic time.
     pub message_deadline: Time,
 }
 
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -17,7 +17,8 @@
         self.shutdown.advance(self.clock.now());
     }
 
-    /// A client connected. If that exceeds the maximum number of connections, another one is evicted.
+    /// A client connected. If that exceeds the maximum number of client connections, another client's
+    /// connection is closed (evicted).
     pub fn client_opened(&mut self, id: ClientId) {
         if let Some(evicted) = self.clients.opened(id, self.clock.now()) {
             tracing::debug!(client = evicted, "client connection evicted for a new one");
--- a/crates/platform/src/core/key_cooldowns.rs
+++ b/crates/platform/src/core/key_cooldowns.rs
@@ -1,5 +1,5 @@
-//! Cooldowns of ordering keys: after an attempt that may still be executing, no new message of its key is
-//! attempted for a fixed time, so that messages of a key take effect in order.
+//! Cooldowns of ordering keys: after an attempt that may still be executing, no new message of the same
+//! ordering key is attempted for a fixed time, so that messages of a key take effect in order.
 //!
 //! The decision library enforces cooldowns as well, but does not know those of a previous process.
 
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -15,15 +15,15 @@
 /// Why a valid message is rejected. Written to the log by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RejectReason {
-    /// Its deadline has passed.
+    /// The message's deadline has passed.
     Expired,
     /// `max_in_flight_messages` messages without a final outcome are in flight.
     TooManyInFlight,
-    /// It does not fit into the part of the journal that messages in flight may take.
+    /// The message does not fit into the part of the journal that messages in flight may take.
     JournalFull,
     /// No record can be written to the journal.
     JournalUnwritable,
-    /// The decision library rejected it.
+    /// The decision library rejected the message.
     Decided,
 }
 
@@ -147,8 +147,9 @@
         self.admission.await_decision(number, requester);
     }
 
-    /// Answers all requests for the messages that were decided. A message that is not accepted is removed:
-    /// there is no record of it, and the answer replaces a status notification.
+    /// Answers every request whose message the decision has accepted, rejected or failed. A message that is
+    /// not accepted is removed from the in-flight table. It has no journal record and needs no status
+    /// notification: the answer reports its outcome.
     pub(super) fn answer_decided(&mut self, decisions: Vec<AdmissionDecision>) {
         for decision in decisions {
             let number = decision.message;
--- a/crates/platform/src/core/unrecorded.rs
+++ b/crates/platform/src/core/unrecorded.rs
@@ -32,7 +32,7 @@
 
 impl Core {
     /// Handles the success of writing this iteration's records. Releases the status notifications that waited
-    /// for theirs.
+    /// for their records.
     pub fn records_written(&mut self) {
         self.set_journal_state(JournalState::Writable);
         if self.notifier.release_all() {
--- a/crates/platform/src/records.rs
+++ b/crates/platform/src/records.rs
@@ -126,7 +126,7 @@
     pub sent_at: Time,
 }
 
-/// The final outcome of a message.
+/// How a message was completed. Outcomes other than `Delivered` are reported by a status notification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
     /// An endpoint executed the message in time.
--- a/crates/platform/src/records/replay.rs
+++ b/crates/platform/src/records/replay.rs
@@ -1,5 +1,5 @@
-//! Replay: restores the state from a journal's records, and encodes a message's state as records for a new
-//! file.
+//! Replay: restores the state from a journal's records, and encodes a message's state as records of the
+//! snapshot with which a new journal file begins.
 
 use super::clock_reference::shifted;
 use super::{ClockReference, CompletedId, FinalOutcome, Message, Record, SentAttempt, UNKNOWN_INDEX};
--- a/crates/platform/src/shell/journal.rs
+++ b/crates/platform/src/shell/journal.rs
@@ -70,7 +70,8 @@
         self.directory.size()
     }
 
-    /// Returns when [`JournalWriter::write`] is due even without records; [`Time::MAX`] means never.
+    /// Returns the monotonic time at which [`JournalWriter::write`] must be called even without records, to
+    /// create the first file or to retry after a failure; [`Time::MAX`] if neither is due.
     pub fn next_wake(&self) -> Time {
         match self.state {
             WriterState::NotCreated => 0,
--- a/crates/telemetry/src/connection.rs
+++ b/crates/telemetry/src/connection.rs
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Returns the actions that are due.
+    /// Closes a connection that is stuck, connects if the backoff has elapsed and there is something to send,
+    /// and hands chunks to an established connection. Returns these actions for the caller to carry out.
     pub fn poll(&mut self, now: Time) -> Vec<ConnectionAction> {
         let mut actions = Vec::new();
         if self.is_stuck(now) {
--- a/crates/telemetry/src/interface.rs
+++ b/crates/telemetry/src/interface.rs
@@ -110,7 +110,8 @@
     pub reports: u64,
     /// Number of points of the last report, so far if it is in progress.
     pub points: usize,
-    /// Number of counter cells.
+    /// Number of cells in the counter store: one for each destination and class or independent route with
+    /// counts, and one for the reports themselves.
     pub cells: usize,
     /// Sum of the increases that were not counted because the maximum number of cells was reached, since the
     /// start of the process.
--- a/crates/telemetry/src/selection.rs
+++ b/crates/telemetry/src/selection.rs
@@ -18,12 +18,13 @@
 pub(crate) struct ItemSelection {
     /// Position of the round robin: the last cell that it selected; `None` to begin with the first.
     refreshed_up_to: Option<CounterKey>,
-    /// The first cell that the last report postponed because it reached its maximum number of points.
+    /// The first cell that the last report postponed because the report had reached its maximum number of
+    /// points; `None` if it postponed none.
     first_postponed: Option<CounterKey>,
 }
 
 impl ItemSelection {
-    /// Records that a cell was postponed. The cells of the next report begin with the first one recorded.
+    /// Records that a cell was postponed. The next report begins its cells with the first one postponed.
     pub(crate) fn record_postponed(&mut self, key: CounterKey) {
         self.first_postponed.get_or_insert(key);
     }
--- a/crates/telemetry/src/telemetry/report_cycle.rs
+++ b/crates/telemetry/src/telemetry/report_cycle.rs
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Sends queued notifications with the wall-clock time, but not earlier than the last report's timestamp.
+    /// Sends the queued notifications to collectd, if configured, with the timestamp `max(wall, timestamp of
+    /// the last report)`.
     pub(super) fn send_notifications(&mut self, wall: Time) {
         let timestamp = self.timestamps.last().max(wall);
         for notification in self.recording.notifications.take() {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -22,16 +22,16 @@
 pub struct Endpoint {
     /// Number of the endpoint, unique among the endpoints of all destinations.
     pub id: u32,
-    /// The destination that it belongs to.
+    /// Number of the destination that the endpoint belongs to.
     pub destination: u32,
     /// The destination's kind, an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: u8,
-    /// The zone that it is in.
+    /// Number of the zone that the endpoint is in.
     pub zone: u8,
     /// Rate limit in calls a second for all couriers together, with the accuracy that
     /// [`Settings::rate_accuracy`](super::Settings::rate_accuracy) states; 0 for none.
     pub rate: f64,
-    /// Its status.
+    /// Whether the endpoint is in service, draining or removed, according to the list.
     #[cfg_attr(feature = "serde", serde(rename = "listing"))]
     pub status: EndpointStatus,
 }
@@ -42,17 +42,17 @@
 pub struct AcceptedMessage {
     /// Number of the message; numbers are never reused.
     pub id: u32,
-    /// The destination that it is to be delivered to.
+    /// Number of the destination that the message is to be delivered to.
     pub destination: u32,
     /// Its class, an index into [`Settings::classes`](super::Settings::classes).
     pub class: u8,
-    /// Time from now to its deadline.
+    /// Time from the clock time of the decision cycle to the message's deadline.
     #[cfg_attr(feature = "serde", serde(rename = "time_left"))]
     pub time_remaining: Time,
     /// Its ordering key, 0 for none. Ignored in a class that is not ordered.
     #[cfg_attr(feature = "serde", serde(rename = "key"))]
     pub ordering_key: u64,
-    /// Its tenant.
+    /// Number of its tenant, an index into [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
     pub tenant: u32,
 }
 
@@ -92,9 +92,10 @@
     Reset,
     /// The courier cancelled the attempt; the message may have been executed.
     Cancelled,
-    /// The courier did not send the attempt; the message was not executed.
+    /// The attempt was not executed: the courier did not send it, or the endpoint reported so.
     NotSent {
-        /// The courier had no capacity for another call.
+        /// Whether the reason was a lack of capacity for another call, at the courier or as reported by the
+        /// endpoint; false for any other reason.
         #[cfg_attr(feature = "serde", serde(rename = "no_slot"))]
         no_capacity: bool,
     },
@@ -180,10 +181,10 @@
     /// An update of the endpoint list.
     #[cfg_attr(feature = "serde", serde(rename = "List"))]
     EndpointList {
-        /// The entries are the complete list, and not only those that changed.
+        /// Whether `entries` is the complete list, and not only the entries that changed.
         #[cfg_attr(feature = "serde", serde(rename = "whole"))]
         complete: bool,
-        /// The entries of the list, or those that changed.
+        /// All entries of a complete list, or else the entries that changed.
         entries: Vec<Endpoint>,
     },
     /// A poll of the endpoint list failed, or its watch ended.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -39,16 +39,16 @@
     pub max_in_flight_messages: u32,
     /// Maximum number of attempts for a message.
     pub max_attempts: u32,
-    /// Attempts in flight may be cancelled.
+    /// Whether the dispatcher may cancel attempts in flight ([`Action::Cancel`](super::Action::Cancel)).
     #[cfg_attr(feature = "serde", serde(rename = "may_cancel"))]
     pub cancellation_allowed: bool,
-    /// A message may have two attempts in flight at once (hedged requests).
+    /// Whether a message may have two attempts in flight at once (hedged requests).
     #[cfg_attr(feature = "serde", serde(rename = "may_copy"))]
     pub hedging_allowed: bool,
-    /// Health checks may be sent to endpoints.
+    /// Whether health checks may be sent to endpoints.
     #[cfg_attr(feature = "serde", serde(rename = "may_probe"))]
     pub health_checks_allowed: bool,
-    /// Couriers may send each other gossip.
+    /// Whether couriers may send each other gossip.
     #[cfg_attr(feature = "serde", serde(rename = "may_note"))]
     pub gossip_allowed: bool,
     /// The longest Retry-After that clients respect; 0 if they respect none.
@@ -82,7 +82,8 @@
     /// back.
     #[cfg_attr(feature = "serde", serde(rename = "key_rest"))]
     pub key_cooldown: Time,
-    /// The endpoint list must be polled, or its watch requested; otherwise it is pushed without a request.
+    /// Whether the dispatcher must poll the endpoint list or request its watch; if false, the list is pushed
+    /// without a request.
     #[cfg_attr(feature = "serde", serde(rename = "list_asked"))]
     pub endpoint_list_polled: bool,
     /// Longest interval between polls of the endpoint list while there is no watch.
@@ -183,13 +184,13 @@
     /// A second execution is harmless.
     #[cfg_attr(feature = "serde", serde(rename = "Safe"))]
     Idempotent,
-    /// A second execution is suppressed by the message's idempotency key within `dedup_window` after the
-    /// first.
+    /// Endpoints suppress a second execution by the message's idempotency key, if it follows the first within
+    /// `dedup_window`.
     Keyed {
-        /// How long endpoints remember the key.
+        /// How long after the first execution endpoints remember the key.
         #[cfg_attr(feature = "serde", serde(rename = "window"))]
         dedup_window: Time,
-        /// Only endpoints in the zone of the first execution know the key; otherwise all do.
+        /// Whether only endpoints in the zone of the first execution know the key; if false, all do.
         #[cfg_attr(feature = "serde", serde(rename = "by_zone"))]
         per_zone: bool,
     },
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -68,9 +68,9 @@
             && endpoint.status == EndpointStatus::Ready
     }
 
-    /// Whether the retry budget of the destination allows this send. A message of which no attempt may have
-    /// been executed needs none. Neither does a retry while the destination has no call in flight, as only
-    /// a served call refills the budget.
+    /// Whether the retry budget of the destination allows this send. A message without a possibly executed
+    /// attempt needs none. Neither does a retry while the destination has no call in flight, as only a served
+    /// call refills the budget.
     fn has_retry_budget(&self, message: &Message, destination: &Destination) -> bool {
         let others_in_flight = message.attempts_in_flight > 0 || destination.calls_in_flight > 0;
         let needs_budget = !message.possibly_executed.is_empty() && others_in_flight;
@@ -98,13 +98,14 @@
         (self.settings.max_in_flight_calls as usize).saturating_sub(self.state.attempts.call_count())
     }
 
-    /// Whether at most `spare` slots are free while messages wait that only lack a slot.
+    /// Whether at most `spare` slots are free while messages wait for a destination that only lacks a slot.
     pub(super) fn is_short_of_slots(&self, spare: usize) -> bool {
         let lacks_slot = |&id: &u32| self.lacks_slot(id);
         self.free_slots() <= spare && self.state.wait_queue.destinations.iter().any(lacks_slot)
     }
 
-    /// Whether messages wait for a destination although its limit and that of an endpoint would admit a call.
+    /// Whether messages wait for a destination that only lacks a slot: its own limiter and that of at least
+    /// one of its endpoints would admit a call.
     fn lacks_slot(&self, id: u32) -> bool {
         let destination = &self.state.destinations[id];
         let context = self.limit_context(destination.endpoint_scope());
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -13,12 +13,11 @@
 /// Cost of a price of 1 for reaching an endpoint, in calls in flight.
 const PRICE_CALLS: f64 = 10.0;
 
-/// An endpoint that a message may be sent to. Endpoints that are not avoided come first, then those of least
-/// cost.
+/// An endpoint that a message may be sent to. Candidates are ordered by `avoided`, false first, then by cost.
 struct Candidate {
-    /// The message's class avoids the endpoint after a failure there.
+    /// Whether the message's class avoids the endpoint after a failure there.
     avoided: bool,
-    /// In calls in flight.
+    /// Cost of a call to the endpoint, in equivalent calls in flight.
     cost: f64,
     endpoint: u32,
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -9,19 +9,19 @@
 /// Weight of the newest call in the moving averages (EWMA) of the failure rate and of the recent latency.
 /// Five calls have more than four fifths of the weight.
 pub(super) const EWMA_WEIGHT: f64 = 0.3;
-/// Failure rate above which a limit counts as failing, though it is not ejected: higher than that of
-/// occasional errors.
+/// Failure rate (EWMA, 0 to 1) above which a limit counts as failing, even if it is not ejected: higher than
+/// that of occasional errors.
 pub(super) const FAILING_THRESHOLD: f64 = 0.25;
-/// Failures and rejections in a row from which a rejection without a Retry-After and without a report of the
-/// capacity left may mean an outage.
+/// Minimum length of a run of failures and rejections that may count as an outage, if the last rejection
+/// carries neither a Retry-After nor a report of the capacity left.
 const MIN_OUTAGE_REJECTIONS: u32 = 3;
-/// Capacity left, as a ratio of the limit, above which a rejection that reports it means an outage: a call
-/// above the limit would be rejected with none left.
+/// A rejection that reports more capacity left than this ratio of the limit indicates an outage: a call is
+/// rejected for exceeding the limit only when no capacity is left.
 const OUTAGE_CAPACITY_LEFT: f64 = 0.75;
 
 impl Dispatcher {
-    /// Ejects each limit that has answered nothing since one of its overdue attempts was sent. Cancels
-    /// overdue attempts whose slot is needed, and retryable ones whose endpoint alone is silent.
+    /// Ejects each limit of which no call was answered since one of its overdue attempts was sent. Cancels
+    /// overdue attempts to free their slots, or to retry where only the endpoint of the attempt is silent.
     pub(super) fn detect_silence(&mut self) {
         let overdue = self.state.overdue_index.all_due(self.now, |_| true);
         self.wake_up.want_by(overdue.next_due_at.unwrap_or(NEVER));
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Makes the class of an overdue attempt avoid its endpoint until the attempt's deadline, and ejects the
-    /// limiters of the endpoint and of the destination if these are silent.
+    /// Makes messages of an overdue attempt's class avoid the attempt's endpoint until `sent_at + deadline of
+    /// the class`, and ejects the limiters of the endpoint and of the destination if these are silent.
     fn record_silence(&mut self, overdue: &DueAttempt, silence: Silence) {
         let Silence { endpoint: id, destination, class, .. } = silence;
         let chance = self.random.draw();
@@ -65,8 +65,8 @@
     }
 
     /// Whether to cancel an overdue attempt: to free its slot, if the message may be retried or the attempt
-    /// has taken more than twice its overdue span; or to retry at another endpoint, as only this one is
-    /// silent.
+    /// has taken more than twice its overdue span; or to retry the message at another endpoint, if it may be
+    /// retried and only this endpoint is silent.
     fn should_cancel(&self, overdue: &DueAttempt, silence: Silence, slots_wanted: bool) -> bool {
         let may_resend = self.may_resend(&self.state.messages[&overdue.message], None);
         let twice_overdue = self.now > overdue.due_at + (overdue.due_at - overdue.sent_at);
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -4,8 +4,8 @@
 use crate::interface::{Idempotency, Time};
 use crate::state::{AttemptGroup, GroupSpans, Limiter};
 
-/// An attempt is overdue after this multiple of the 95th percentile of latency: one in hundreds takes as
-/// long.
+/// An attempt is overdue after this multiple of the 95th percentile of latency. Only one in several hundred
+/// takes that long.
 const OVERDUE_LATENCY_MULTIPLE: u64 = 2;
 
 impl Dispatcher {
--- a/src/policy/local_faults.rs
+++ b/src/policy/local_faults.rs
@@ -5,14 +5,14 @@
 use crate::state::Message;
 
 /// First backoff of a destination, in nanoseconds, after an attempt that this machine could not begin. It
-/// doubles with each further one in a row.
+/// doubles with each further such attempt in a row.
 const MIN_LOCAL_BACKOFF: Time = 20_000_000;
 /// Longest backoff, in nanoseconds; a shortage of file descriptors or buffers is usually short.
 const MAX_LOCAL_BACKOFF: Time = 320_000_000;
 
 impl Dispatcher {
-    /// Exponential backoff of a destination while this machine cannot begin attempts there. Any outcome of an
-    /// attempt that was sent, other than a cancellation, resets it.
+    /// Updates the exponential backoff of a destination: a local fault starts or doubles it, and any outcome
+    /// of an attempt that was sent, other than a cancellation, resets it.
     pub(super) fn record_local_fault(&mut self, destination: u32, outcome: AttemptOutcome) {
         let Some(destination) = self.state.destinations.get_mut(destination) else { return };
         match outcome {
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -40,7 +40,7 @@
         self.state.join_wait_queue(id, entry);
     }
 
-    /// The time from which [`may_resend`](Self::may_resend) forbids any attempt: now if it does so already;
+    /// The time from which [`may_resend`](Self::may_resend) forbids any attempt: `now` if it already does;
     /// for a keyed message that may have been executed, the end of the deduplication window less the connect
     /// timeout; otherwise `None`.
     fn retry_expiry(&self, message: &Message) -> Option<Time> {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -10,7 +10,7 @@
 const LATENCY_SAMPLES: usize = 40;
 /// Minimum number of samples for the percentile; with fewer, the latency objective is used in its place.
 const MIN_LATENCY_SAMPLES: usize = 5;
-/// Idle connections from all couriers together that any endpoint is assumed to accept.
+/// Number of idle connections, from all couriers together, that any endpoint is assumed to accept.
 const MIN_CONNECTIONS: f64 = 8.0;
 
 impl Dispatcher {
--- a/src/policy/rate.rs
+++ b/src/policy/rate.rs
@@ -4,11 +4,11 @@
 use crate::interface::{RateAccuracy, Settings, Time};
 use crate::state::{seconds, CircuitState, LimitContext, LimitScope, Limiter};
 
-/// Share of its overload budget that a courier spends where the budget is at least half a call per overload
-/// window. Variable network latency can bring more calls into one window than were sent in it.
+/// Factor on the call rate that rule 4 allows, where that is at least half a call per overload window:
+/// variable network latency can bring more calls into one window than were sent in it.
 const BUDGET_RATIO: f64 = 0.9;
-/// Share of its overload budget that a courier spends where that is near 0 calls per window, growing linearly
-/// to [`BUDGET_RATIO`]: calls of several couriers may coincide by chance.
+/// Factor on the same rate where that is near 0, growing linearly to [`BUDGET_RATIO`]: calls of several
+/// couriers may coincide by chance.
 const SPARSE_BUDGET_RATIO: f64 = 0.5;
 /// How long before this courier's first failure others may have seen the outage, in overload windows.
 const SEEN_BEFORE_WINDOWS: f64 = 2.0;
@@ -16,13 +16,14 @@
 const MIN_WINDOW_CALLS: f64 = 4.0;
 /// Call rate of all couriers that know of an outage, as a ratio of the rate of those that do not know yet.
 const INFORMED_CALLS_RATIO: f64 = 0.2;
-/// Minimum averaging time of the usual rate, in seconds; smaller shares than one call in it do not adapt.
+/// Minimum averaging time of the usual rate, in seconds. `shares_taken` bounds the rate of a courier only
+/// if the courier's equal share is at least one call in this time.
 const MIN_USUAL_RATE_SECONDS: f64 = 10.0;
 /// Interval between a courier's calls after a rejection above the limit, as a multiple of the time for which
-/// rejections last: all retries together must stay under the limit, as rejected calls may use it up.
+/// rejections last: all retries together must stay under the limit, as rejected calls may consume it too.
 const REJECTED_PERIOD_FACTOR: f64 = 10.0;
-/// Target utilization of a limit by hundreds of couriers. The rest absorbs random bursts; above the limit,
-/// rejected calls may use it up.
+/// Target utilization of a limit by hundreds of couriers, as a ratio. The rest absorbs random bursts: calls
+/// rejected above the limit may consume it too.
 pub(super) const SHARE_FILL_RATIO: f64 = 0.8;
 /// Relative growth of `shares_taken` with a success that reports all capacity left, and its decrease with one
 /// that reports none; small, as all couriers adapt to the same reports.
@@ -35,7 +36,7 @@
 const MIN_RATE: f64 = 1e-9;
 
 impl Limiter {
-    /// Checks for a pending Retry-After (rule 6) and an available token; `Err` is when to check again.
+    /// Checks for a pending Retry-After (rule 6) and an available token; `Err` is the time to check again.
     pub(super) fn check_limit(&self, context: LimitContext) -> Result<(), Time> {
         if self.retry_after_until > context.now {
             return Err(self.retry_after_until);
--- a/src/state/deadline_index.rs
+++ b/src/state/deadline_index.rs
@@ -8,7 +8,7 @@
 use crate::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Index entry: an attempt in flight, in order of sending.
+/// Index entry of an attempt in flight. Entries sort by time of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SentAttempt {
     /// Clock time of sending, in nanoseconds.
@@ -81,7 +81,7 @@
     }
 }
 
-/// Index entry: a group with its first deadline, in order of deadline.
+/// Index entry of a group. Entries sort by the first deadline in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupDeadline {
     at: Time,
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -34,8 +34,8 @@
     pub(crate) retry_tokens: f64,
     /// Latencies of its last served calls.
     pub(crate) latencies: LatencySamples,
-    /// Whether its attempts have their own groups in the index of overdue attempts, which takes enough
-    /// latency samples; before, they are in the shared group of their class.
+    /// Whether the destination's attempts have their own groups in the index of overdue attempts. Until there
+    /// are enough latency samples, they are in the shared group of their class.
     pub(crate) has_own_groups: bool,
     /// EWMA of the latency of served calls with a small weight, in nanoseconds; 0 before the first.
     pub(crate) usual_latency: f64,
--- a/src/state/dispatch_state/messages.rs
+++ b/src/state/dispatch_state/messages.rs
@@ -28,8 +28,8 @@
         true
     }
 
-    /// Computes the state in which a message has to wait at clock time `now`, provided that attempts can be
-    /// recorded.
+    /// Returns what a message waits for at clock time `now`, by its ordering key and its possible executions.
+    /// The caller has to check for [`QueueState::AwaitsRecording`] first; this function never returns it.
     pub(crate) fn queue_state(&self, message: &Message, idempotency: Idempotency, now: Time) -> QueueState {
         if let Some(queue) = self.key_queues.get(message.ordering_key) {
             if !queue.is_first(message.position()) {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -13,8 +13,8 @@
     pub(crate) status: EndpointStatus,
     /// Number of calls in flight to it.
     pub(crate) calls_in_flight: u32,
-    /// Classes that prefer other endpoints because an attempt here was overdue or ended with an error or a
-    /// timeout, with the clock time in nanoseconds until which each does.
+    /// Clock time in nanoseconds until which messages of a class prefer other endpoints, because an attempt
+    /// of the class here was overdue or ended with an error or a timeout.
     pub(crate) avoided_until: BTreeMap<usize, Time>,
     /// Jitter in the cost of the endpoint, so that couriers prefer different endpoints: drawn once from an
     /// exponential distribution with mean 1.
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -13,13 +13,13 @@
 }
 
 impl KeyQueue {
-    /// Whether the message is the first of its key; only that one may be sent.
+    /// Whether the message at `position` is the first of its key; only the first may be sent.
     pub(crate) fn is_first(&self, position: QueuePosition) -> bool {
         self.messages.first() == Some(&position)
     }
 }
 
-/// Index entry: a key without messages, in order of the end of its cooldown.
+/// Index entry of a key without messages. Entries sort by the end of the cooldown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey {
     cooldown_until: Time,
--- a/src/state/latency.rs
+++ b/src/state/latency.rs
@@ -3,12 +3,13 @@
 use crate::interface::Time;
 use std::collections::VecDeque;
 
-/// Latencies of the last served calls, and a high percentile of them. All in nanoseconds.
+/// Latencies of the last served calls, and a high percentile of them, in nanoseconds. The caller of
+/// [`record`](Self::record) chooses the percentile and the minimum number of samples.
 #[derive(Debug, Default)]
 pub(crate) struct LatencySamples {
     /// The latencies, oldest first.
     samples: VecDeque<Time>,
-    /// The percentile of `samples`; `None` while there are too few.
+    /// The percentile that the caller computed from `samples`; `None` while there are too few.
     pub(crate) high_percentile: Option<Time>,
 }
 
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -3,7 +3,7 @@
 use super::{AttemptGroup, QueueState, SentAttempt};
 use crate::interface::{AcceptedMessage, AttemptOutcome, Class, Time, UnresolvedAttempt};
 
-/// An attempt that is in flight or may have been executed, in order of sending.
+/// An attempt that is in flight or may have been executed. Values sort by time of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PossibleExecution {
     /// Clock time of sending, in nanoseconds.
@@ -47,15 +47,16 @@
     pub(crate) possibly_executed: Vec<PossibleExecution>,
     /// Whether the message has its final answer.
     pub(crate) completed: bool,
-    /// Its state in the queue of its destination, `None` while it does not wait.
+    /// What the message waits for in the queue of its destination; `None` while it does not wait.
     pub(crate) queue_state: Option<QueueState>,
-    /// Time from which it may no longer be retried; `None` while it does not wait or has no such time.
+    /// Time from which the message may no longer be retried; `None` while it does not wait or has no such
+    /// time.
     pub(crate) retry_expiry: Option<Time>,
-    /// Its entry in the hedge index: its only attempt in flight, unless that is cancelled or the message has
-    /// its final answer.
+    /// The message's entry in the hedge index: its only attempt in flight. `None` if that is cancelled or the
+    /// message has its final answer.
     pub(crate) lone_attempt: Option<SentAttempt>,
-    /// Set only for a recovered message that was certainly not executed before the recovery. It equals
-    /// `attempts` unless an attempt since the recovery is in flight or may have reached an endpoint.
+    /// Value of `attempts` as long as no attempt since the recovery is in flight or may have reached an
+    /// endpoint. Set only for a recovered message that was certainly not executed before the recovery.
     pub(crate) uncalled_attempts: Option<u16>,
 }
 
--- a/src/state/shed_order.rs
+++ b/src/state/shed_order.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::ops::Bound;
 
-/// A message as ordered by age, oldest first: by time of acceptance, then by queue position.
+/// Sort key of a message by age, oldest first: clock time of acceptance in nanoseconds, then queue position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AgedMessage {
     accepted_at: Time,
--- a/src/state/wait_queue.rs
+++ b/src/state/wait_queue.rs
@@ -5,7 +5,7 @@
 use crate::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Index entry: a message and one of its deadlines, the earliest first.
+/// Index entry of a message by one of its deadlines. Entries sort by the deadline, earliest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageTime {
     /// Clock time in nanoseconds.
@@ -13,20 +13,19 @@
     pub(crate) message: u32,
 }
 
-/// What a message waits for. It decides which messages a decision cycle checks: of the messages of one
-/// destination and state, if the oldest may not be sent, none may, so that only the oldest is checked. The
-/// exception is [`QueueState::KeyCooldown`].
+/// What a message waits for. A decision cycle checks only the oldest message of each destination and state:
+/// if the oldest may not be sent, none of the others may. The exception is [`QueueState::KeyCooldown`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueState {
     /// The message is certainly not executed, and may be sent to any endpoint.
     NotExecuted,
     /// An attempt may have been executed. A retry may go to any endpoint, or only to those in `zone` if set.
     Retry { zone: Option<u8> },
-    /// Its ordering key is in cooldown. Keys end their cooldowns at different times.
+    /// The message's ordering key is in cooldown. Keys end their cooldowns at different times.
     KeyCooldown,
-    /// An earlier message of its ordering key is not finished yet.
+    /// An earlier message of the same ordering key is not finished yet.
     BehindInKey,
-    /// Its attempt needs a record, and attempts cannot be recorded at present.
+    /// The message's next attempt needs a record, and attempts cannot be recorded at present.
     AwaitsRecording,
 }
 
@@ -43,9 +42,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueEntry {
     pub(crate) state: QueueState,
-    /// Clock time from which it may no longer be retried, in nanoseconds; `None` without such a time.
+    /// Clock time in nanoseconds from which the message may no longer be retried; `None` for no such time.
     pub(crate) retry_expiry: Option<Time>,
-    /// Whether load shedding may reject it.
+    /// Whether load shedding may reject the message.
     pub(crate) sheddable: bool,
 }
 
