--- a/bench-adapter/src/codes.rs
+++ b/bench-adapter/src/codes.rs
@@ -1,5 +1,6 @@
-//! Numeric codes of the wire format. The name in code font is that in the bench's description of the format.
-//! Events and actions are numbered independently, so the same number may stand for one of each.
+//! Numeric codes of the wire format. The first word of a comment, in code font, is the name that the bench's
+//! description of the format uses. Events and actions are numbered independently, so the same number may
+//! stand for one of each.
 
 /// Codes of the records in a batch.
 pub(crate) mod event {
@@ -64,7 +65,7 @@
     pub(crate) const COMPLETE: u8 = 1;
     /// `cached`: the complete list that the instance had last.
     pub(crate) const CACHED: u8 = 2;
-    /// `failed`: no list is available; the previous one stays valid.
+    /// `failed`: the endpoint list cannot be read; the instance keeps the list that it had last.
     pub(crate) const FAILED: u8 = 3;
 }
 
@@ -75,7 +76,8 @@
     pub(crate) const DRAINING: u8 = 3;
 }
 
-/// Codes for the outcome of an attempt or a health check. The meaning of the note depends on the outcome.
+/// Codes for the outcome of an attempt or a health check. The record of an attempt also has a note, a 32-bit
+/// number whose meaning depends on the outcome.
 pub(crate) mod outcome {
     pub(crate) const SERVED: u8 = 0;
     pub(crate) const ERROR: u8 = 1;
@@ -85,7 +87,7 @@
     pub(crate) const NO_CONNECTION: u8 = 4;
     pub(crate) const RESET: u8 = 5;
     pub(crate) const CANCELLED: u8 = 6;
-    /// The note is the reason; see [`NOTE_NO_CAPACITY`].
+    /// The note is the reason: [`NOTE_NO_CAPACITY`], or any other value for an unspecified reason.
     pub(crate) const NOT_SENT: u8 = 7;
 
     /// Note of an attempt that was not sent because the instance had no capacity left.
--- a/bench-adapter/src/error.rs
+++ b/bench-adapter/src/error.rs
@@ -3,8 +3,8 @@
 use linnetcart_deployment_settings::SettingsError;
 use std::io;
 
-/// Why a batch cannot be answered. Every such error ends the process: it cannot tell where the next batch
-/// begins.
+/// Why a batch cannot be answered. Every such error ends the process, as the process cannot tell where the
+/// next batch begins.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BatchError {
     /// Reading standard input or writing standard output failed.
--- a/bench-adapter/src/event.rs
+++ b/bench-adapter/src/event.rs
@@ -17,8 +17,8 @@
 /// Tenant of a message whose record ends before the tenant field.
 const DEFAULT_TENANT: u32 = 0;
 
-/// Indexes of the values that the dispatcher uses in the load reports of an instance; `None` for a value that
-/// the reports do not contain.
+/// Positions, in the load reports of an instance, of the values that the dispatcher uses; `None` for a value
+/// that the reports do not contain.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LoadReportLayout {
     capacity_left: Option<usize>,
@@ -37,9 +37,9 @@
 
 /// The values of a load report that the dispatcher uses.
 struct LoadReport {
-    /// Unused fraction of the limit, 0 to 1.
+    /// Unused fraction of the limit, 0 to 1; `None` if it is not reported.
     capacity_left: Option<f64>,
-    /// The limit in calls a second.
+    /// Rate limit in calls a second over all couriers; `None` if it is not reported.
     rate_limit: Option<f64>,
 }
 
@@ -178,7 +178,8 @@
     Ok(Event::Gossip { from, body })
 }
 
-/// Decodes an outcome from its code `status` and its note, whose meaning depends on the code.
+/// Decodes an outcome from its code `status` and the note, whose meaning depends on the code (see
+/// [`codes::outcome`](crate::codes::outcome)).
 fn decode_outcome(status: u8, note: u32) -> Result<AttemptOutcome, RecordError> {
     match status {
         outcome::SERVED => Ok(AttemptOutcome::Served),
--- a/bench-adapter/src/host.rs
+++ b/bench-adapter/src/host.rs
@@ -21,7 +21,8 @@
     load_report: LoadReportLayout,
 }
 
-/// The events of one batch by instance, with the instances in the order in which they first occur in it.
+/// The events of one batch by instance, with the instances in the order in which they first occur in the
+/// batch.
 #[derive(Default)]
 struct PendingEvents {
     order: Vec<u32>,
@@ -36,7 +37,8 @@
         self.events.entry(instance).or_default().push(event);
     }
 
-    /// Drops the events of an instance that is halted or started again; it keeps its position in the order.
+    /// Drops the events of an instance that is halted or started again; the instance keeps its position in
+    /// the order.
     fn discard(&mut self, instance: u32) {
         self.events.remove(&instance);
     }
@@ -128,7 +130,7 @@
             InstanceEvent::ClientCancelled => decode_client_cancelled(fields),
             InstanceEvent::HealthChecked => decode_health_checked(fields, self.load_report(instance)),
             InstanceEvent::Gossip => decode_gossip(fields),
-            // Both only start a decision cycle: the dispatcher needs no more than the clock time.
+            // Both records only start a decision cycle: the dispatcher needs no more than the clock time.
             InstanceEvent::StreamStarted | InstanceEvent::TimerExpired => Ok(Event::WokenUp),
         }
     }
--- a/bench-adapter/src/main.rs
+++ b/bench-adapter/src/main.rs
@@ -2,7 +2,8 @@
 //! and output.
 //!
 //! The bench sends framed batches of binary records. The adapter decodes them into the dispatcher's events,
-//! and encodes its actions as the reply. It makes no decisions and reads no clock: each batch has its time.
+//! and encodes the dispatcher's actions as the reply. It makes no decisions and reads no clock: each batch
+//! carries its clock time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/courier-common/src/idle_reuse/loss_rate.rs
+++ b/crates/courier-common/src/idle_reuse/loss_rate.rs
@@ -11,7 +11,8 @@
 const PRIOR_CALLS: f64 = 10.0;
 /// Fraction of the calls in the prior that count as lost.
 const PRIOR_LOSS_RATE: f64 = 0.02;
-/// Loss rate by which an idle connection may exceed a new one, because reuse saves the connect time.
+/// Difference by which the loss rate of an idle connection may exceed that of a new one, because reuse saves
+/// the connect time.
 const LOSS_RATE_MARGIN: f64 = 0.03;
 /// Half-life of the counted calls and losses, in nanoseconds.
 const HALF_LIFE: Time = 10_000 * MILLISECOND;
@@ -65,8 +66,9 @@
 /// comparison matters where connections are reset at random: there a new one is no better.
 #[derive(Debug, Default)]
 pub struct LossRatePolicy {
+    /// First calls on new connections.
     new_connections: DecayingLossRate,
-    /// By bucket of idle time; see [`bucket`].
+    /// Calls on idle connections, by bucket of idle time; see [`bucket`].
     idle_connections: [DecayingLossRate; IDLE_BUCKETS],
 }
 
@@ -76,8 +78,8 @@
 }
 
 impl LossRatePolicy {
-    /// Records the result of a call at clock time `now`. `idle` is the idle time of its connection before the
-    /// call, in nanoseconds, or `None` for a new connection.
+    /// Records the result of a call at clock time `now`, in nanoseconds. `idle` is the idle time of its
+    /// connection before the call, in nanoseconds, or `None` for a new connection.
     pub fn record_call(&mut self, now: Time, idle: Option<Time>, result: CallResult) {
         match idle {
             Some(idle) => self.idle_connections[bucket(idle)].record(now, result),
@@ -86,7 +88,8 @@
     }
 
     /// Whether a connection that has been idle for `idle` nanoseconds may be reused: its expected loss rate
-    /// exceeds that of a new connection by a small margin at most.
+    /// exceeds that of a new connection by at most `LOSS_RATE_MARGIN`. `now` is a clock time in
+    /// nanoseconds.
     pub fn may_reuse(&self, now: Time, idle: Time) -> bool {
         let idle_loss_rate = self.idle_connections[bucket(idle)].rate(now);
         idle_loss_rate <= self.new_connections.rate(now) + LOSS_RATE_MARGIN
--- a/crates/courier-common/src/idle_reuse/max_idle.rs
+++ b/crates/courier-common/src/idle_reuse/max_idle.rs
@@ -10,17 +10,18 @@
 /// passed, up to `idle_timeout`.
 #[derive(Clone, Copy, Debug)]
 pub struct MaxIdlePolicy {
-    /// Time in nanoseconds after which idle connections are closed in any case.
+    /// Idle time in nanoseconds after which a connection is closed even without any loss.
     idle_timeout: Time,
-    /// Maximum idle time at `last_loss`, in nanoseconds.
+    /// Maximum idle time that the loss at `last_loss` left, in nanoseconds; `idle_timeout` before the first
+    /// loss.
     max_idle: Time,
     /// Clock time of the last loss in nanoseconds; 0 before the first.
     last_loss: Time,
 }
 
 impl MaxIdlePolicy {
-    /// Creates a policy whose initial maximum is `idle_timeout`, the time in nanoseconds after which idle
-    /// connections are closed in any case.
+    /// Creates a policy whose initial maximum is `idle_timeout`, the idle time in nanoseconds after which a
+    /// connection is closed even without any loss.
     pub fn new(idle_timeout: Time) -> Self {
         MaxIdlePolicy { idle_timeout, max_idle: idle_timeout, last_loss: 0 }
     }
--- a/crates/courier-common/src/limit_log.rs
+++ b/crates/courier-common/src/limit_log.rs
@@ -2,7 +2,7 @@
 
 use linnetcart::LimitChange;
 
-/// Logs that a limit changed its state, with the evidence for the change if there is any.
+/// Logs that a limit changed its state, with the evidence for the change unless the cause was silence.
 pub fn log_limit_change(change: &LimitChange) {
     let evidence = change.evidence;
     tracing::info!(
--- a/crates/delivery-events/src/lib.rs
+++ b/crates/delivery-events/src/lib.rs
@@ -15,7 +15,8 @@
     Served,
     /// The message was rejected; submitting it again is safe.
     Rejected {
-        /// How long to wait before submitting again, in nanoseconds; 0 if not stated.
+        /// Retry-After: nanoseconds that the client should wait before it submits the message again; 0 for
+        /// none.
         retry_after: Time,
     },
     /// The courier gave up; the message may or may not have been executed.
@@ -40,7 +41,8 @@
     pub rate_limit: f64,
 }
 
-/// An event. Its clock time is that of the event-loop iteration that reports it.
+/// Something that happened to a message, an attempt, a limit or a connection. Events carry no clock time: an
+/// event happened at the clock time of the event-loop iteration that reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DeliveryEvent {
     /// A message was accepted.
@@ -49,18 +51,18 @@
         message: u32,
         /// Id of the message outside of this process.
         name: Bytes,
-        /// Class of the message.
+        /// Class of the message, an index into the classes of the settings.
         class: u8,
-        /// Destination of the message.
+        /// Number of the message's destination.
         destination: u32,
         /// Clock time by which the message must have its final answer, in nanoseconds.
         deadline: Time,
     },
     /// A message was rejected before it was accepted.
     Rejected {
-        /// Class of the message.
+        /// Class of the message, an index into the classes of the settings.
         class: u8,
-        /// Destination of the message.
+        /// Number of the message's destination.
         destination: u32,
         /// Reason of the rejection.
         reason: RejectionReason,
@@ -71,13 +73,13 @@
         message: u32,
         /// Number of the attempt, counted from 0 for each message.
         attempt: u16,
-        /// Class of the message.
+        /// Class of the message, an index into the classes of the settings.
         class: u8,
-        /// Destination of the message.
+        /// Number of the message's destination.
         destination: u32,
-        /// Endpoint of the attempt.
+        /// Number of the endpoint that the attempt is sent to.
         endpoint: u32,
-        /// Whether it is a hedge: another attempt of the message is in flight.
+        /// Whether the attempt is a hedge: another attempt of the message is in flight.
         hedge: bool,
     },
     /// An attempt finished.
@@ -86,28 +88,28 @@
         message: u32,
         /// Number of the attempt, counted from 0 for each message.
         attempt: u16,
-        /// Class of the message.
+        /// Class of the message, an index into the classes of the settings.
         class: u8,
-        /// Destination of the message.
+        /// Number of the message's destination.
         destination: u32,
-        /// Endpoint of the attempt.
+        /// Number of the endpoint that the attempt is sent to.
         endpoint: u32,
         /// Outcome of the attempt.
         outcome: AttemptOutcome,
         /// Time from sending to the outcome, in nanoseconds.
         elapsed: Time,
-        /// Load report of the endpoint, if the response carried one.
+        /// Load report of the endpoint; `None` if the response carried none.
         load: Option<LoadReport>,
     },
     /// A message received its final answer.
     Completed {
         /// Number of the message in this process.
         message: u32,
-        /// Class of the message.
+        /// Class of the message, an index into the classes of the settings.
         class: u8,
-        /// Destination of the message.
+        /// Number of the message's destination.
         destination: u32,
-        /// The final answer.
+        /// The final answer that the client gets.
         answer: FinalAnswer,
         /// Time since the message was accepted, in nanoseconds.
         elapsed: Time,
@@ -116,9 +118,9 @@
     ClientCancelled {
         /// Number of the message in this process.
         message: u32,
-        /// Class of the message.
+        /// Class of the message, an index into the classes of the settings.
         class: u8,
-        /// Destination of the message.
+        /// Number of the message's destination.
         destination: u32,
     },
     /// The decision library changed the state of a limit.
@@ -128,7 +130,7 @@
     UnsupportedAction(Action),
     /// An endpoint or client violated the protocol, and its connection was closed.
     ProtocolViolation {
-        /// The endpoint or client.
+        /// The endpoint or client and its number, as text.
         peer: String,
         /// Description of the violation.
         reason: String,
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -42,7 +42,11 @@
 }
 
 impl DeploymentSettings {
-    /// Parses a settings object. Fails if the idempotency of a class is missing or unknown.
+    /// Parses a settings object.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::UnknownIdempotency`] if the idempotency of a message class is missing or unknown.
     pub fn read(object: &Value) -> Result<DeploymentSettings, SettingsError> {
         let class_name = |service: &Value| text(&service["name"]);
         Ok(DeploymentSettings {
--- a/crates/deployment-settings/src/settings.rs
+++ b/crates/deployment-settings/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// Name of the field with the idempotency of a class, which decides whether its messages may be retried.
 const IDEMPOTENCY: &str = "idempotency";
-/// Most messages per call for a kind of destination that has no entry in `per_call`.
+/// Maximum number of messages in one call, for a kind of destination that has no entry in `per_call`.
 const DEFAULT_MESSAGES_PER_CALL: u64 = 1;
 
 pub(crate) fn read(object: &Value) -> Result<Settings, SettingsError> {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision library: settings and events go in, actions come out.
 //!
-//! These types are plain data without decision logic. The names that `serde` writes are those of the first
-//! version of recorded decision cycles and do not change.
+//! These types are plain data without decision logic. The names that `serde` writes are part of the format of
+//! recorded decision cycles: they stay when a name in the code changes.
 
 mod actions;
 mod events;
@@ -14,5 +14,6 @@
 };
 pub use settings::{Class, DestinationKind, Idempotency, RateAccuracy, Settings};
 
-/// A span of time or a clock reading, in nanoseconds.
+/// A span of time or a clock time, in nanoseconds. Clock times are readings of the one clock whose readings
+/// the courier passes to [`Dispatcher::decide`](crate::Dispatcher::decide).
 pub type Time = u64;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -9,53 +9,55 @@
 pub enum Action {
     /// Start the next attempt of a message.
     Send {
-        /// The message.
+        /// Number of the message.
         message: u32,
-        /// The endpoint that it is sent to.
+        /// Number of the endpoint that the attempt is sent to.
         endpoint: u32,
-        /// Clock time at which the attempt times out; 0 if only the deadline of the message ends it.
+        /// Clock time in nanoseconds at which the attempt times out; 0 if only the deadline of the message
+        /// ends it.
         until: Time,
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// The message.
+        /// Number of the message.
         message: u32,
-        /// The number of the attempt, counted from 0 for each message.
+        /// Number of the attempt, counted from 0 for each message.
         attempt: u16,
     },
     /// Give the final answer "rejected": it is harmless to submit the message again.
     #[cfg_attr(feature = "serde", serde(rename = "Refuse"))]
     Reject {
-        /// The message.
+        /// Number of the message.
         message: u32,
-        /// Retry-After: how long the client should wait before it submits the message again; 0 for none.
+        /// Retry-After: nanoseconds that the client should wait before it submits the message again; 0 for
+        /// none.
         #[cfg_attr(feature = "serde", serde(rename = "come_back"))]
         retry_after: Time,
     },
     /// Give the final answer "failed": the message may or may not have been executed.
     Fail {
-        /// The message.
+        /// Number of the message.
         message: u32,
     },
-    /// Send a health check to an endpoint, for which it counts as a call. It does not count against
+    /// Send a health check to an endpoint. The endpoint counts it as a call; it does not count against
     /// [`Settings::max_in_flight_calls`](super::Settings::max_in_flight_calls).
     #[cfg_attr(feature = "serde", serde(rename = "Probe"))]
     HealthCheck {
-        /// The endpoint.
+        /// Number of the endpoint.
         endpoint: u32,
     },
     /// Send gossip to other couriers.
     #[cfg_attr(feature = "serde", serde(rename = "Note"))]
     Gossip {
-        /// The number of the courier that gets it, or `None` for all.
+        /// Number of the courier that receives the gossip, or `None` for all other couriers.
         to: Option<u32>,
-        /// The content, at most 256 bytes.
+        /// Content of the gossip, at most 256 bytes.
         body: Vec<u8>,
     },
     /// Close the connections to an endpoint that carry no call.
     #[cfg_attr(feature = "serde", serde(rename = "Close"))]
     CloseIdle {
-        /// The endpoint.
+        /// Number of the endpoint.
         endpoint: u32,
     },
     /// Poll the endpoint list, or watch it from now on.
@@ -64,7 +66,7 @@
     /// Run a decision cycle at this clock time at the latest; replaces the wake-up requested before.
     #[cfg_attr(feature = "serde", serde(rename = "Wake"))]
     WakeUp {
-        /// The clock time.
+        /// Clock time of the wake-up, in nanoseconds.
         at: Time,
     },
     /// Report in the log and in metrics that a limit changed its state.
@@ -72,7 +74,7 @@
     LimitChanged(LimitChange),
 }
 
-/// State of a limit (a destination or an independent route), as the decision library sees it.
+/// Health of a limit (that of a destination or of an independent route), as the decision library sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitState {
     /// In service.
@@ -82,8 +84,8 @@
     Recovering,
     /// Out of service: only recovery trials are sent.
     Ejected,
-    /// No call was answered since one was sent that is overdue now. This may concern only one of several
-    /// endpoints.
+    /// Ejected because a call is overdue and no call was answered since it was sent. If endpoints share the
+    /// limit, perhaps only one of them is silent.
     Silent,
 }
 
@@ -92,28 +94,28 @@
 pub struct LimitEvidence {
     /// The outcome of the call that changed the state.
     pub outcome: AttemptOutcome,
-    /// Exponentially weighted moving average over calls: a failed call counts 1, a served one 0, and a
-    /// rejected one does not count.
+    /// Failure rate, 0 to 1: exponentially weighted moving average over calls, in which a failed call counts
+    /// 1, a served one 0, and a rejected one does not count.
     pub failure_rate: f64,
-    /// Number of failures or rejections in a row.
+    /// Number of failures and rejections since the last served call.
     pub consecutive_failures: u32,
 }
 
 /// A change of the state of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The destination.
+    /// Number of the destination.
     pub destination: u32,
-    /// The endpoint at which the change was observed.
+    /// Number of the endpoint whose call or silence caused the change.
     pub endpoint: u32,
-    /// The new state.
+    /// State of the limit after the change.
     pub state: LimitState,
-    /// The evidence; `None` for [`LimitState::Silent`], where there is no outcome.
+    /// Evidence for the change; `None` for [`LimitState::Silent`], which no outcome caused.
     pub evidence: Option<LimitEvidence>,
 }
 
-/// Writes the text of the bench adapter's wire format and of recorded decision cycles, which does not change
-/// with names in the code.
+/// Writes the text that the bench adapter's wire format and recorded decision cycles have; it stays when a
+/// name in the code changes.
 impl fmt::Display for LimitChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let state = match self.state {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -2,7 +2,8 @@
 
 use super::Time;
 
-/// Status of an endpoint in the endpoint list; it does not depend on the endpoint's health.
+/// Status that the endpoint list states for an endpoint. The health that the dispatcher infers from outcomes
+/// does not change it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum EndpointStatus {
@@ -40,19 +41,19 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AcceptedMessage {
-    /// Number of the message; numbers are never reused.
+    /// Number of the message. No two messages in flight have the same number.
     pub id: u32,
     /// Number of the destination that the message is to be delivered to.
     pub destination: u32,
-    /// Its class, an index into [`Settings::classes`](super::Settings::classes).
+    /// Class of the message, an index into [`Settings::classes`](super::Settings::classes).
     pub class: u8,
-    /// Time from the clock time of the decision cycle to the message's deadline.
+    /// Time from the clock time of the decision cycle to the message's deadline, in nanoseconds.
     #[cfg_attr(feature = "serde", serde(rename = "time_left"))]
     pub time_remaining: Time,
-    /// Its ordering key, 0 for none. Ignored in a class that is not ordered.
+    /// Ordering key of the message, 0 for none. Ignored if the class of the message is not ordered.
     #[cfg_attr(feature = "serde", serde(rename = "key"))]
     pub ordering_key: u64,
-    /// Number of its tenant, an index into [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
+    /// Tenant of the message, an index into [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
     pub tenant: u32,
 }
 
@@ -62,9 +63,9 @@
 pub struct UnresolvedAttempt {
     /// Number of the attempt, counted from 0 for each message.
     pub attempt: u16,
-    /// The zone of the endpoint that it was sent to.
+    /// Number of the zone of the endpoint that the attempt was sent to.
     pub zone: u8,
-    /// How long ago it was sent.
+    /// Time from sending the attempt to the clock time of the decision cycle, in nanoseconds.
     #[cfg_attr(feature = "serde", serde(rename = "ago"))]
     pub age: Time,
 }
@@ -80,7 +81,8 @@
     /// The endpoint rejected the message without executing it.
     #[cfg_attr(feature = "serde", serde(rename = "Full"))]
     Rejected {
-        /// Retry-After: how long no call may be made under the limit that rejected this one; 0 for none.
+        /// Retry-After: nanoseconds for which no further call may be made under the limit that rejected this
+        /// one; 0 for none.
         #[cfg_attr(feature = "serde", serde(rename = "wait"))]
         retry_after: Time,
     },
@@ -131,25 +133,26 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptResult {
-    /// The message.
+    /// Number of the message.
     pub message: u32,
     /// Number of the attempt, counted from 0 for each message.
     pub attempt: u16,
-    /// The endpoint that it was sent to.
+    /// Number of the endpoint that the attempt was sent to.
     pub endpoint: u32,
-    /// The outcome.
+    /// How the attempt ended.
     #[cfg_attr(feature = "serde", serde(rename = "ending"))]
     pub outcome: AttemptOutcome,
-    /// Time from sending to the outcome.
+    /// Time from sending to the outcome, in nanoseconds.
     #[cfg_attr(feature = "serde", serde(rename = "took"))]
     pub elapsed: Time,
-    /// The message has its final answer, from this or another attempt.
+    /// Whether the message has its final answer, from this or another attempt.
     #[cfg_attr(feature = "serde", serde(rename = "over"))]
     pub completed: bool,
-    /// Part of the limit that is left, 0 to 1, if the answer reported it.
+    /// Unused fraction of the limit, 0 to 1; `None` if the answer did not report it.
     #[cfg_attr(feature = "serde", serde(rename = "left"))]
     pub capacity_left: Option<f64>,
-    /// The limit in calls a second, if the answer reported it; 0 for none.
+    /// Rate limit in calls a second over all couriers, 0 for no limit; `None` if the answer did not report
+    /// it.
     #[cfg_attr(feature = "serde", serde(rename = "limit"))]
     pub rate_limit: Option<f64>,
 }
@@ -158,18 +161,19 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct HealthCheckResult {
-    /// The endpoint that was checked.
+    /// Number of the endpoint that was checked.
     pub endpoint: u32,
-    /// The outcome.
+    /// How the health check ended.
     #[cfg_attr(feature = "serde", serde(rename = "ending"))]
     pub outcome: AttemptOutcome,
-    /// Time from sending to the outcome.
+    /// Time from sending to the outcome, in nanoseconds.
     #[cfg_attr(feature = "serde", serde(rename = "took"))]
     pub elapsed: Time,
-    /// Part of the limit that is left, 0 to 1, if the answer reported it.
+    /// Unused fraction of the limit, 0 to 1; `None` if the answer did not report it.
     #[cfg_attr(feature = "serde", serde(rename = "left"))]
     pub capacity_left: Option<f64>,
-    /// The limit in calls a second, if the answer reported it; 0 for none.
+    /// Rate limit in calls a second over all couriers, 0 for no limit; `None` if the answer did not report
+    /// it.
     #[cfg_attr(feature = "serde", serde(rename = "limit"))]
     pub rate_limit: Option<f64>,
 }
@@ -197,19 +201,19 @@
     /// reported in the order of acceptance, before any [`Event::Accepted`].
     #[cfg_attr(feature = "serde", serde(rename = "Resumed"))]
     Recovered {
-        /// The message; its number is not used again for another.
+        /// The message. While it is in flight, no other message has its number.
         #[cfg_attr(feature = "serde", serde(rename = "taken"))]
         message: AcceptedMessage,
-        /// Number of attempts that were made for it.
+        /// Number of attempts that earlier processes made for the message.
         attempts: u16,
-        /// The attempts that may have been executed.
+        /// The attempts of earlier processes that may have been executed.
         #[cfg_attr(feature = "serde", serde(rename = "open"))]
         unresolved: Vec<UnresolvedAttempt>,
     },
     /// The client cancelled its message, or disconnected.
     #[cfg_attr(feature = "serde", serde(rename = "Withdrawn"))]
     ClientCancelled {
-        /// The message.
+        /// Number of the message.
         message: u32,
     },
     /// An attempt ended. A second result of the same attempt, such as a late answer with a Retry-After, is
@@ -219,7 +223,7 @@
     /// The courier can record attempts from now on, or no longer can. While it cannot, no attempt is made
     /// that needs a record ([`Class::attempt_needs_record`](super::Class::attempt_needs_record)).
     RecordingChanged {
-        /// Whether attempts can be recorded.
+        /// Whether the courier can record attempts from now on.
         available: bool,
     },
     /// A health check ended.
@@ -228,9 +232,9 @@
     /// Gossip from another courier.
     #[cfg_attr(feature = "serde", serde(rename = "Note"))]
     Gossip {
-        /// The number of the courier that sent it.
+        /// Number of the courier that sent the gossip.
         from: u32,
-        /// The content.
+        /// Content of the gossip.
         body: Vec<u8>,
     },
     /// A requested wake-up is due, or one that was replaced since. It carries no data: the dispatcher uses
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -4,17 +4,18 @@
 
 /// Limits, classes and prices of one deployment.
 ///
-/// Values that a deployment does not specify stay at their `Default`.
+/// Values that a deployment does not specify stay at their `Default`. All times are in nanoseconds
+/// ([`Time`]).
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
     /// Number of couriers that send to the same destinations, this one included.
     #[cfg_attr(feature = "serde", serde(rename = "couriers"))]
     pub courier_count: u32,
-    /// The number of this courier among them.
+    /// Number of this courier among all couriers, counted from 0.
     #[cfg_attr(feature = "serde", serde(rename = "me"))]
     pub courier_index: u32,
-    /// The zone that this courier is in.
+    /// Number of the zone that this courier is in.
     pub zone: u8,
     /// Classes of message; [`AcceptedMessage::class`](super::AcceptedMessage::class) is an index into them.
     pub classes: Vec<Class>,
@@ -71,8 +72,8 @@
     /// Time after an outage until a destination has its full capacity again.
     #[cfg_attr(feature = "serde", serde(rename = "warm_after"))]
     pub slow_start_duration: Time,
-    /// A call rate above this multiple of its present capacity makes a destination fail again after an
-    /// outage, if it lasts for [`overload_window`](Self::overload_window).
+    /// After an outage, a destination fails again if the call rate stays above this multiple of the
+    /// destination's present capacity for [`overload_window`](Self::overload_window).
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_ratio: f64,
     /// How long an overload must last to make a destination fail again.
@@ -82,8 +83,8 @@
     /// back.
     #[cfg_attr(feature = "serde", serde(rename = "key_rest"))]
     pub key_cooldown: Time,
-    /// Whether the dispatcher must poll the endpoint list or request its watch; if false, the list is pushed
-    /// without a request.
+    /// Whether the dispatcher must request the endpoint list
+    /// ([`Action::WatchEndpoints`](super::Action::WatchEndpoints)); if false, the list is pushed.
     #[cfg_attr(feature = "serde", serde(rename = "list_asked"))]
     pub endpoint_list_polled: bool,
     /// Longest interval between polls of the endpoint list while there is no watch.
@@ -130,21 +131,22 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
-    /// A message that is served within this time from its acceptance has its full weight.
+    /// Time from acceptance within which a served message has the full weight, in nanoseconds.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Time,
-    /// Time from acceptance within which a message must get its final answer.
+    /// Time from acceptance within which a message must get its final answer, in nanoseconds.
     pub deadline: Time,
     /// Weight of a message that is served within the latency objective.
     #[cfg_attr(feature = "serde", serde(rename = "worth"))]
     pub priority_weight: f64,
-    /// Weight at the deadline, as a ratio of the full weight, 0 to 1.
+    /// Weight at the deadline, as a ratio of the full weight, 0 to 1; the lower bound of the weight if
+    /// [`Settings::weight_halves`] is set.
     #[cfg_attr(feature = "serde", serde(rename = "late_worth"))]
     pub late_weight: f64,
     /// The effect of executing a message more than once.
     #[cfg_attr(feature = "serde", serde(rename = "repeat"))]
     pub idempotency: Idempotency,
-    /// Messages with the same ordering key are sent in turn, one at a time.
+    /// Whether messages with the same ordering key are sent one at a time, in order of acceptance (rule 5).
     pub ordered: bool,
 }
 
@@ -153,8 +155,9 @@
     /// process.
     ///
     /// After a restart, an attempt without a record is made again. That is harmless for an idempotent
-    /// message. But a message that is not idempotent would take effect twice, as would a keyed one after its
-    /// window, and the next message of an ordering key would be sent while the attempt may still run.
+    /// message. But a message that is not idempotent would take effect twice, as would a keyed message after
+    /// its `dedup_window`, and the next message of an ordering key would be sent while the attempt may still
+    /// run.
     pub fn attempt_needs_record(&self) -> bool {
         self.ordered || self.idempotency != Idempotency::Idempotent
     }
@@ -187,7 +190,7 @@
     /// Endpoints suppress a second execution by the message's idempotency key, if it follows the first within
     /// `dedup_window`.
     Keyed {
-        /// How long after the first execution endpoints remember the key.
+        /// Time after the first execution for which endpoints remember the key, in nanoseconds.
         #[cfg_attr(feature = "serde", serde(rename = "window"))]
         dedup_window: Time,
         /// Whether only endpoints in the zone of the first execution know the key; if false, all do.
@@ -203,8 +206,8 @@
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DestinationKind {
-    /// Its endpoints are independent routes: each has its own limit and its own outages. Otherwise they share
-    /// the limit of the destination.
+    /// Whether the endpoints of the destination are independent routes, each with its own limit and its own
+    /// outages; if false, they share the limit of the destination.
     #[cfg_attr(feature = "serde", serde(rename = "routes_apart"))]
     pub independent_routes: bool,
     /// Maximum number of messages in one call.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -16,7 +16,7 @@
 use crate::interface::{Action, Event, Settings, Time};
 use crate::state::{DispatchState, LatencySamples, ListPoll, Random, RecoveredAttempts, WakeUpTimer};
 
-/// A time that never comes: nothing is due until an event arrives.
+/// A clock time that is never reached: stands for work that is due only after a further event.
 const NEVER: Time = Time::MAX;
 const NANOS_PER_SECOND: f64 = 1e9;
 
@@ -27,13 +27,13 @@
     random: Random,
     now: Time,
     wake_up: WakeUpTimer,
-    /// How late this decision cycle started, relative to the wake-up requested; 0 if it was not late.
+    /// Nanoseconds by which this decision cycle started after the requested wake-up; 0 if it was not late.
     delay: Time,
     state: DispatchState,
-    /// Recent latencies of served calls to all destinations.
+    /// Latencies of the last served calls to all destinations.
     latencies: LatencySamples,
     list_poll: ListPoll,
-    /// Attempts cannot be recorded at present ([`Event::RecordingChanged`]).
+    /// Whether the courier cannot record attempts at present ([`Event::RecordingChanged`]).
     records_unavailable: bool,
     actions: Vec<Action>,
 }
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Runs one decision cycle at clock time `now`: applies all events since the last cycle, and returns the
-    /// actions to carry out, in order. A `now` earlier than that of the last cycle is replaced by that.
+    /// Runs one decision cycle at clock time `now`, in nanoseconds: applies all events since the last cycle,
+    /// and returns the actions to carry out, in order. The dispatcher's time never goes back: if `now` is
+    /// earlier than in the last cycle, the time of the last cycle is used.
     pub fn decide(&mut self, now: Time, events: Vec<Event>) -> Vec<Action> {
         self.now = self.now.max(now);
         self.delay = self.wake_up.start_cycle(self.now);
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Whether a Retry-After applies to this endpoint at `now` (rule 6). The courier checks this again before
-    /// it writes a call on a new connection: a Retry-After may have arrived while the connection was made.
+    /// Whether a Retry-After forbids calls to this endpoint at clock time `now` (rule 6); false for an
+    /// unknown endpoint. The courier checks this again before it writes a call on a new connection: a
+    /// Retry-After may have arrived while the connection was made.
     pub fn retry_after_pending(&self, now: Time, endpoint: u32) -> bool {
         self.state.limiter(endpoint).is_some_and(|limiter| limiter.retry_after_until > now)
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -13,14 +13,15 @@
 pub(super) const FAILURE_RETRY_TOKENS: f64 = 3.0;
 /// Tokens that the retry budget must exceed to allow retries and hedges.
 pub(super) const MIN_RETRY_TOKENS: f64 = RETRY_BUDGET_TOKENS / 2.0;
-/// Load is shed above this ratio of `max_in_flight_messages`: at 1 the courier would reject any new message.
+/// Ratio of the messages in flight to `max_in_flight_messages` above which load is shed. At 1, the courier
+/// would reject any new message, whatever its weight.
 const SHED_THRESHOLD: f64 = 0.9;
 /// A destination counts as slow while its recent latency exceeds this multiple of its usual latency.
 const SLOW_LATENCY_MULTIPLE: f64 = 3.0;
 
 impl Dispatcher {
     /// Checks whether a message may be sent to an endpoint now. Every send passes this check. `Err` is the
-    /// time at which to check again, or [`NEVER`] when only an event can change the result.
+    /// clock time at which to check again, or [`NEVER`] when only an event can change the result.
     pub(super) fn check_send(&self, message: &Message, endpoint: u32) -> Result<(), Time> {
         let endpoint_state = self.state.endpoints.get(endpoint).ok_or(NEVER)?;
         let destination = self.state.destinations.get(message.destination).ok_or(NEVER)?;
@@ -68,9 +69,9 @@
             && endpoint.status == EndpointStatus::Ready
     }
 
-    /// Whether the retry budget of the destination allows this send. A message without a possibly executed
-    /// attempt needs none. Neither does a retry while the destination has no call in flight, as only a served
-    /// call refills the budget.
+    /// Whether the destination's retry budget allows this send. The budget limits only messages with an
+    /// attempt that may have been executed, and only while the destination has a call in flight: as only a
+    /// served call refills the budget, an empty one could otherwise block all retries for good.
     fn has_retry_budget(&self, message: &Message, destination: &Destination) -> bool {
         let others_in_flight = message.attempts_in_flight > 0 || destination.calls_in_flight > 0;
         let needs_budget = !message.possibly_executed.is_empty() && others_in_flight;
@@ -93,19 +94,19 @@
         LimitContext { now: self.now, scope, settings: &self.settings }
     }
 
-    /// Calls that may be started before the courier has `max_in_flight_calls`.
+    /// Number of calls that may be started until `max_in_flight_calls` are in flight.
     pub(super) fn free_slots(&self) -> usize {
         (self.settings.max_in_flight_calls as usize).saturating_sub(self.state.attempts.call_count())
     }
 
-    /// Whether at most `spare` slots are free while messages wait for a destination that only lacks a slot.
+    /// Whether at most `spare` slots are free while messages wait that need only a slot to be sent.
     pub(super) fn is_short_of_slots(&self, spare: usize) -> bool {
         let lacks_slot = |&id: &u32| self.lacks_slot(id);
         self.free_slots() <= spare && self.state.wait_queue.destinations.iter().any(lacks_slot)
     }
 
-    /// Whether messages wait for a destination that only lacks a slot: its own limiter and that of at least
-    /// one of its endpoints would admit a call.
+    /// Whether the messages that wait for a destination need only a slot: the limiter of the destination and
+    /// that of at least one of its endpoints would admit a call. False if no message waits.
     fn lacks_slot(&self, id: u32) -> bool {
         let destination = &self.state.destinations[id];
         let context = self.limit_context(destination.endpoint_scope());
@@ -117,10 +118,10 @@
 
     /// Load shedding: rejects waiting messages of least weight, in two cases.
     ///
-    /// Above [`SHED_THRESHOLD`], it rejects the messages in excess: at the maximum the courier would reject
-    /// any new message, whatever its weight. When no slot is free, it rejects as many as exceed `slots *
-    /// longest latency objective / 95th percentile of latency` among the messages that only lack a slot: sent
-    /// oldest first, all of them would miss their objective.
+    /// - More messages are in flight than [`SHED_THRESHOLD`] of `max_in_flight_messages`: rejects the excess.
+    /// - No slot is free, and more messages wait only for a slot than the slots can serve within the longest
+    ///   latency objective, `slots * objective / 95th percentile of latency`: rejects the excess. As the
+    ///   oldest message is sent first, every message of a longer queue would miss its objective.
     pub(super) fn shed_load(&mut self) {
         let in_flight = self.state.deadlines.len() as f64;
         let excess = in_flight - SHED_THRESHOLD * f64::from(self.settings.max_in_flight_messages);
@@ -137,8 +138,8 @@
         self.shed(&lacking_slot, waiting as f64 - served);
     }
 
-    /// Sheds up to `count` messages that wait for these destinations, those of least weight first, and
-    /// advises the longest Retry-After.
+    /// Sheds up to `count` messages that wait for these destinations, those of least weight first. The final
+    /// answers carry the longest Retry-After, `max_retry_after`.
     fn shed(&mut self, destinations: &BTreeSet<u32>, count: f64) {
         let weight = |class: usize, accepted_at: Time| {
             let age = self.now.saturating_sub(accepted_at);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -5,12 +5,12 @@
 use crate::state::{LimitContext, LimitScope, Limiter};
 use std::collections::VecDeque;
 
-/// Cost of a unit of an endpoint's jitter, in calls in flight. Jitter makes couriers prefer different
-/// endpoints.
+/// Cost of a jitter of 1 ([`EndpointState::jitter`](crate::state::EndpointState)), in calls in flight. Jitter
+/// makes couriers prefer different endpoints.
 const JITTER_CALLS: f64 = 0.5;
 /// Cost of a failure rate of 1 at an endpoint, in calls in flight.
 const FAILURE_RATE_CALLS: f64 = 4.0;
-/// Cost of a price of 1 for reaching an endpoint, in calls in flight.
+/// Cost of a price of 1 (cross-zone price and route fee) for a call to an endpoint, in calls in flight.
 const PRICE_CALLS: f64 = 10.0;
 
 /// An endpoint that a message may be sent to. Candidates are ordered by `avoided`, false first, then by cost.
@@ -48,8 +48,9 @@
         }
     }
 
-    /// Sends the oldest message of a destination that may be sent, and gives up those too late for a recovery
-    /// trial; returns the endpoint sent to.
+    /// Sends the oldest message of a destination that may be sent; returns the endpoint, or `None` if no
+    /// message may be sent now. Before that, requeues the messages whose key cooldown has ended, and gives up
+    /// the messages that are too late for a recovery trial.
     fn send_next(&mut self, destination: u32) -> Option<u32> {
         for id in self.state.cooled_down(destination, self.now) {
             self.enqueue(id);
@@ -71,9 +72,10 @@
         None
     }
 
-    /// Where all endpoints are ejected, returns a message whose deadline is within the overdue span. Sent as
-    /// a recovery trial, it could be cancelled at its deadline without a result, and the limit would stay
-    /// ejected.
+    /// If the limits of all endpoints of a destination are ejected, returns a waiting message whose deadline
+    /// is no later than the time at which a recovery trial sent now would be overdue. Such a trial could be
+    /// cancelled at the deadline without a result, and the limit would stay ejected. Recovered messages that
+    /// await their first call are exempt.
     fn too_late_for_trial(&self, destination: u32) -> Option<u32> {
         let destination = self.state.destinations.get(destination)?;
         let ejected = |&id: &u32| self.state.limiter(id).is_some_and(Limiter::is_ejected);
@@ -86,8 +88,9 @@
         destination.queue.heads().into_iter().find(|id| all_ejected && too_late(id))
     }
 
-    /// Returns the endpoint of least cost that the message may be sent to, other than `except`, and one that
-    /// its class avoids only if there is no other. `Err` is the time at which to check again.
+    /// Returns the endpoint of least cost that the message may be sent to, other than `except`. An endpoint
+    /// that the message's class avoids is chosen only if there is no other. `Err` is the clock time at which
+    /// to check again.
     pub(super) fn choose_endpoint(&self, message: u32, except: Option<u32>) -> Result<u32, Time> {
         let message = &self.state.messages[&message];
         let destination = self.state.destinations.get(message.destination).ok_or(NEVER)?;
@@ -107,8 +110,9 @@
     }
 
     /// Cost of an endpoint in the selection, in calls in flight: `calls in flight + 4 * failure rate +
-    /// 10 * price + 0.5 * sparse^3 * jitter`, where `sparse` is 1 less the courier's equal share of calls per
-    /// burst. Without jitter, couriers with few calls in flight would all choose the same endpoint.
+    /// 10 * (cross-zone price + route fee) + 0.5 * sparse^3 * jitter`, with `sparse = max(0, 1 - equal share
+    /// in calls a second * BURST_SECONDS)`. Without jitter, couriers with few calls in flight would all
+    /// choose the same endpoint.
     fn cost(&self, id: u32) -> f64 {
         let settings = &self.settings;
         let endpoint = &self.state.endpoints[id];
@@ -123,7 +127,8 @@
         f64::from(endpoint.calls_in_flight) + failures + PRICE_CALLS * price + jitter
     }
 
-    /// Sends a message to an endpoint, in the call of this cycle that it may join, or else in a new call.
+    /// Sends a message to an endpoint: in the call to it that this cycle started, if that may still be joined
+    /// (batching), or else in a new call.
     pub(super) fn send(&mut self, id: u32, endpoint: u32) {
         let chance = self.random.draw();
         let Some(message) = self.state.messages.get(&id) else { return };
@@ -136,8 +141,8 @@
         self.actions.push(Action::Send { message: id, endpoint, until: 0 });
     }
 
-    /// Starts a call and takes its token from the limiter of the endpoint and, for a shared limit, from that
-    /// of the destination.
+    /// Starts a call, and takes a token for it from the limiter of the endpoint and, if the endpoints share
+    /// a limit, from the limiter of the destination.
     fn start_call(&mut self, destination: u32, endpoint: u32, chance: f64) {
         self.state.open_call(endpoint, destination, self.now);
         let scope = self.state.endpoint_scope(endpoint);
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -13,7 +13,8 @@
 const ENDPOINT_EJECTION_THRESHOLD: f64 = 0.5;
 
 impl Dispatcher {
-    /// Applies a complete endpoint list, or changed entries of it.
+    /// Applies a complete endpoint list, or only the changed entries. An endpoint that a complete list does
+    /// not contain counts as removed.
     pub(super) fn update_endpoints(&mut self, complete: bool, entries: Vec<Endpoint>) {
         if self.list_poll.next_at != NEVER && self.list_poll.backoff > 0 {
             self.list_poll = ListPoll { next_at: NEVER, backoff: 0 };
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Adds or updates an endpoint by its entry, and sets the rate limit that the entry reports.
+    /// Adds or updates the endpoint of a list entry, and sets the rate limit that the entry reports, unless
+    /// the settings say that rates in the list are to be ignored.
     fn update_endpoint(&mut self, entry: Endpoint) {
         self.add_destination(entry.destination);
         let kind = self.settings.kind(entry.kind);
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Adds a destination, unless it is known, when a message or list entry names it.
+    /// Adds a destination that a message or list entry names, unless it is known already.
     pub(super) fn add_destination(&mut self, id: u32) {
         let limiter = Limiter::new(EJECTION_THRESHOLD, self.now);
         let destination = Destination::new(limiter, self.settings.kind(0), RETRY_BUDGET_TOKENS);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -20,8 +20,8 @@
 const OUTAGE_CAPACITY_LEFT: f64 = 0.75;
 
 impl Dispatcher {
-    /// Ejects each limit of which no call was answered since one of its overdue attempts was sent. Cancels
-    /// overdue attempts to free their slots, or to retry where only the endpoint of the attempt is silent.
+    /// Ejects each limit under which no call was answered since an attempt that is now overdue was sent.
+    /// Cancels overdue attempts to free their slots, or to retry the message at another endpoint.
     pub(super) fn detect_silence(&mut self) {
         let overdue = self.state.overdue_index.all_due(self.now, |_| true);
         self.wake_up.want_by(overdue.next_due_at.unwrap_or(NEVER));
@@ -44,7 +44,8 @@
     }
 
     /// Makes messages of an overdue attempt's class avoid the attempt's endpoint until `sent_at + deadline of
-    /// the class`, and ejects the limiters of the endpoint and of the destination if these are silent.
+    /// the class`. Ejects the endpoint's limiter if the endpoint is silent, and the destination's limiter if
+    /// all endpoints that share the limit are silent.
     fn record_silence(&mut self, overdue: &DueAttempt, silence: Silence) {
         let Silence { endpoint: id, destination, class, .. } = silence;
         let chance = self.random.draw();
@@ -64,9 +65,12 @@
         }
     }
 
-    /// Whether to cancel an overdue attempt: to free its slot, if the message may be retried or the attempt
-    /// has taken more than twice its overdue span; or to retry the message at another endpoint, if it may be
-    /// retried and only this endpoint is silent.
+    /// Whether to cancel an overdue attempt, for one of two reasons:
+    ///
+    /// - To free the slot, if messages wait for one: the message may be retried, or the attempt has taken
+    ///   more than twice its overdue span.
+    /// - To retry the message, if that is allowed, at another endpoint: this endpoint is silent, but others
+    ///   of the destination have answered.
     fn should_cancel(&self, overdue: &DueAttempt, silence: Silence, slots_wanted: bool) -> bool {
         let may_resend = self.may_resend(&self.state.messages[&overdue.message], None);
         let twice_overdue = self.now > overdue.due_at + (overdue.due_at - overdue.sent_at);
@@ -77,8 +81,8 @@
 }
 
 impl Limiter {
-    /// Records the outcome of a call that was sent at `sent_at`. Any but a success delays the next call with
-    /// jitter, drawn from `chance`, a random number in [0, 1).
+    /// Records the outcome of a call that was sent at clock time `sent_at`. Any outcome but `Served` delays
+    /// the next call with jitter; `chance` is the random number in [0, 1) for the jitter.
     pub(super) fn record_outcome(
         &mut self,
         sent_at: Time,
@@ -109,8 +113,9 @@
         self.defer_calls(chance, context);
     }
 
-    /// Lowers the failure rate, adjusts `shares_taken` to the capacity left that came with the success, and
-    /// moves the circuit breaker towards [`Closed`].
+    /// Lowers the failure rate and moves the circuit breaker towards [`Closed`]. If the answer reported the
+    /// capacity left, multiplies `shares_taken` by `1 + SHARE_GROWTH_RATE * (2 * capacity left - 1)`, to at
+    /// least [`SHARE_FILL_RATIO`].
     fn record_success(&mut self, sent_at: Time, context: LimitContext) {
         let LimitContext { now, settings, .. } = context;
         self.failures.consecutive = 0;
@@ -119,8 +124,8 @@
         self.shares_taken = (self.shares_taken * (1.0 + SHARE_GROWTH_RATE * growth)).max(SHARE_FILL_RATIO);
         self.failures.rate -= EWMA_WEIGHT * self.failures.rate;
         self.served.count(now, settings.overload_window);
-        // The limit was slow, not down, if it was ejected for silence only, and this call was sent before the
-        // ejection or the ejection is less than an overload window old. It returns to its state before that.
+        // A limit that was ejected for silence only was slow, not down, if this call was sent before the
+        // ejection or if the ejection is less than an overload window old: its former circuit is restored.
         let was_slow = |since: Time| sent_at < since || now < since + settings.overload_window;
         self.circuit = match self.circuit {
             Open { since, confirmed: false } if was_slow(since) => self.circuit_before_open,
@@ -136,7 +141,8 @@
     }
 
     /// Records a rejection as an outage or as a call above the limit. An outage starts the slow start at the
-    /// end of the Retry-After, or ejects the limit if there is none; a call above the limit cuts the rate.
+    /// end of the Retry-After, or ejects the limit if there is none. A call above the limit cuts the rate,
+    /// but only in the limiter of the limit itself, not in that of an endpoint that shares the limit.
     fn record_rejection(&mut self, sent_at: Time, retry_after: Time, context: LimitContext) {
         self.failures.last_not_executed = true;
         let outage = self.is_ejected() || self.is_outage(sent_at, retry_after, context);
@@ -149,10 +155,13 @@
         }
     }
 
-    /// Whether a rejection means an outage of the destination rather than a call above its limit: its
-    /// Retry-After is longer than an overload window, or it reports capacity left and its call was sent after
-    /// the first failure in the row. Where it reports nothing, the failures in a row and the Retry-After must
-    /// together last one and a half windows; without a Retry-After, [`MIN_OUTAGE_REJECTIONS`] are needed too.
+    /// Whether a rejection means an outage of the destination rather than a call above the limit:
+    ///
+    /// - The Retry-After is longer than an overload window.
+    /// - Or the rejection reports more capacity left than [`OUTAGE_CAPACITY_LEFT`], and the call was sent no
+    ///   earlier than the present run of failures began.
+    /// - Or the rejection carries no report, and the run of failures so far plus the Retry-After lasts at
+    ///   least 1.5 overload windows. Without a Retry-After, the run needs [`MIN_OUTAGE_REJECTIONS`] too.
     fn is_outage(&self, sent_at: Time, retry_after: Time, context: LimitContext) -> bool {
         let window = context.settings.overload_window;
         let long_failing = self.failures.since + window * 3 / 2 <= context.now + retry_after;
@@ -163,8 +172,8 @@
         retry_after > window || if reported { capacity_left } else { long_failing && enough_evidence }
     }
 
-    /// Ejects the limit because nothing was answered since an overdue call was sent; false if it was ejected
-    /// before.
+    /// Ejects the limit because no call was answered since an overdue one was sent. Returns false if the
+    /// limit was ejected already.
     fn record_silence(&mut self, chance: f64, context: LimitContext) -> bool {
         let ejected = self.eject(context.now, EjectionCause::Silence);
         if ejected {
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -4,14 +4,14 @@
 use crate::interface::{Idempotency, Time};
 use crate::state::{AttemptGroup, GroupSpans, Limiter};
 
-/// An attempt is overdue after this multiple of the 95th percentile of latency. Only one in several hundred
-/// takes that long.
+/// An attempt is overdue after this multiple of the 95th percentile of latency. Only one attempt in several
+/// hundred takes that long.
 const OVERDUE_LATENCY_MULTIPLE: u64 = 2;
 
 impl Dispatcher {
-    /// Time after sending at which attempts of a group are overdue: `2 * min(95th percentile, objective)`,
-    /// with the percentile of the destination or else of all calls. The objective bounds it because a message
-    /// loses weight after that.
+    /// Time after sending, in nanoseconds, at which attempts of a group are overdue: `2 * min(95th percentile
+    /// of latency, latency objective)`. The percentile is that of the destination or, with too few samples,
+    /// that of all calls. The objective bounds the span because a message loses weight after the objective.
     pub(super) fn overdue_span(&self, group: AttemptGroup) -> Time {
         let objective = self.settings.classes[group.class].latency_objective;
         let destination = self.state.destination_of(group);
@@ -20,9 +20,9 @@
         OVERDUE_LATENCY_MULTIPLE * latency.unwrap_or(objective).min(objective)
     }
 
-    /// Time after sending at which the only attempt in flight of a message may be hedged: the 95th percentile
-    /// of the destination's recent latencies, or the objective while there are too few samples; [`NEVER`]
-    /// where the destination has no other endpoint.
+    /// Nanoseconds after sending at which the only attempt in flight of a message may be hedged: the 95th
+    /// percentile of the destination's recent latencies, or the objective while there are too few samples;
+    /// [`NEVER`] where the destination has no other endpoint.
     fn hedge_delay(&self, group: AttemptGroup) -> Time {
         let objective = self.settings.classes[group.class].latency_objective;
         let destination = self.state.destination_of(group);
@@ -30,7 +30,7 @@
         destination.map_or(NEVER, |destination| destination.latencies.high_percentile.unwrap_or(objective))
     }
 
-    /// Updates the time at which a message may be hedged, after it or an attempt of it changed.
+    /// Updates the entry of a message in the hedge index, after the message or one of its attempts changed.
     pub(super) fn update_hedge_index(&mut self, id: u32) {
         let Some(message) = self.state.messages.get(&id) else { return };
         let delay = self.hedge_delay(message.group());
@@ -71,7 +71,7 @@
     pub(super) fn hedge(&mut self) {
         let due = self.state.hedge_index.all_due(self.now, |group| self.may_hedge(group));
         self.wake_up.want_by(due.next_due_at.unwrap_or(NEVER));
-        // Computed once, and again after each hedge that took a slot.
+        // Computed at the first attempt that needs it, and again after each hedge sent, which takes a slot.
         let mut short_of_slots = None;
         for attempt in due.attempts {
             let Some(in_flight) = self.state.attempts.get(attempt.id()) else { continue };
--- a/src/policy/local_faults.rs
+++ b/src/policy/local_faults.rs
@@ -7,7 +7,7 @@
 /// First backoff of a destination, in nanoseconds, after an attempt that this machine could not begin. It
 /// doubles with each further such attempt in a row.
 const MIN_LOCAL_BACKOFF: Time = 20_000_000;
-/// Longest backoff, in nanoseconds; a shortage of file descriptors or buffers is usually short.
+/// Longest backoff, in nanoseconds; a shortage of file descriptors or buffers usually ends soon.
 const MAX_LOCAL_BACKOFF: Time = 320_000_000;
 
 impl Dispatcher {
@@ -27,8 +27,8 @@
     }
 
     /// Sets whether attempts can be recorded, and requeues all waiting messages. While attempts cannot be
-    /// recorded, messages whose attempts need a record wait apart (`QueueState::AwaitsRecording`), so that
-    /// they do not block the others.
+    /// recorded, messages whose attempts need a record have a queue state of their own
+    /// (`QueueState::AwaitsRecording`), so that they do not block the others.
     pub(super) fn change_recording(&mut self, available: bool) {
         self.records_unavailable = !available;
         for id in self.state.waiting_messages() {
--- a/src/policy/messages.rs
+++ b/src/policy/messages.rs
@@ -12,8 +12,8 @@
         if !self.state.insert_message(&accepted, class, recovered.as_ref(), self.now) {
             return;
         }
-        // Rule 5: an attempt in flight when its process ended may still run: the endpoint may have noticed
-        // the lost connection only now, so the cooldown starts now.
+        // Rule 5: an attempt that was in flight when the earlier process ended may still run: the endpoint
+        // may have noticed the lost connection only now, so the cooldown starts now.
         if class.ordered && recovered.is_some_and(|recovered| !recovered.unresolved.is_empty()) {
             let cooldown_until = self.now + self.settings.key_cooldown;
             self.state.key_queues.cool_down(accepted.ordering_key, cooldown_until);
@@ -40,7 +40,7 @@
         self.state.join_wait_queue(id, entry);
     }
 
-    /// The time from which [`may_resend`](Self::may_resend) forbids any attempt: `now` if it already does;
+    /// Clock time from which [`may_resend`](Self::may_resend) forbids any attempt: `now` if it already does;
     /// for a keyed message that may have been executed, the end of the deduplication window less the connect
     /// timeout; otherwise `None`.
     fn retry_expiry(&self, message: &Message) -> Option<Time> {
@@ -81,8 +81,9 @@
         }
     }
 
-    /// Rule 2: whether a message may be rejected: no attempt of it can have been executed, or a second
-    /// execution in any zone is harmless or suppressed by its key.
+    /// Rule 2: whether a message may be rejected. That is so if no attempt can have been executed, if the
+    /// message is idempotent, or if endpoints of all zones suppress a second execution by its idempotency
+    /// key.
     fn may_reject(&self, message: &Message) -> bool {
         match self.settings.classes[message.class].idempotency {
             Idempotency::Idempotent | Idempotency::Keyed { per_zone: false, .. } => true,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Whether another attempt is allowed by the maximum number of attempts and by rule 2, at an endpoint in
-    /// `zone`, or at any endpoint (`None`).
+    /// Whether another attempt is allowed by the maximum number of attempts (local faults do not count) and
+    /// by rule 2. `zone` is the zone of the endpoint; `None` asks for an endpoint in any zone, the best case.
     pub(super) fn may_resend(&self, message: &Message, zone: Option<u8>) -> bool {
         if u32::from(message.attempts.saturating_sub(message.local_faults)) >= self.settings.max_attempts {
             return false;
@@ -109,8 +110,9 @@
         }
     }
 
-    /// Gives the final answer to a message that was not served: rejected, with Retry-After advice, if it may
-    /// be submitted again without harm, or else failed.
+    /// Gives the final answer to a message that was not served: rejected if the message may be submitted
+    /// again without harm, with `retry_after` nanoseconds or `max_retry_after` if that is shorter; or else
+    /// failed.
     pub(super) fn give_up(&mut self, id: u32, retry_after: Time) {
         let Some(message) = self.state.messages.get(&id).filter(|message| !message.completed) else { return };
         self.actions.push(if self.may_reject(message) {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! Results of attempts: what is done with the message, and what is recorded for its endpoint and destination.
+//! Results of attempts: what is done with the message, and what is recorded for the endpoint and destination.
 
 use super::admission::{FAILURE_RETRY_TOKENS, RETRY_BUDGET_TOKENS};
 use super::{health::EWMA_WEIGHT, Dispatcher, NANOS_PER_SECOND};
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Records the reported limit, any Retry-After, and whether the class avoids the endpoint from now on.
-    /// Applies whether or not the attempt was still in flight.
+    /// Records the reported limit, any Retry-After, and whether the message's class avoids the endpoint from
+    /// now on. A second result of an attempt, for example a late answer, is recorded too.
     fn record_endpoint_result(&mut self, result: &AttemptResult) {
         let now = self.now;
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return };
@@ -65,7 +65,7 @@
             limiter.retry_after_until = limiter.retry_after_until.max(now + retry_after);
         }
         // An endpoint may fail for one class only: that class avoids it until a message of the class is
-        // served there, or for the length of its deadline.
+        // served there, or for the length of the class's deadline.
         let class = self.state.messages.get(&result.message).map_or(0, |message| message.class);
         let deadline = self.settings.classes.get(class).map_or(0, |class| class.deadline);
         match result.outcome {
@@ -90,15 +90,15 @@
         }
     }
 
-    /// Records the outcome of a call, from the first attempt that shows it, in the latencies, the retry
-    /// budget and the health of limits.
+    /// Records the outcome of a call in the latencies, the retry budget and the health of limits. `result` is
+    /// the first result of an attempt in the call whose outcome applies to the whole call.
     fn record_call_outcome(&mut self, result: &AttemptResult, sent_at: Time) {
         let Some(endpoint) = self.state.endpoints.get(result.endpoint) else { return };
         let id = endpoint.destination;
         let Some(destination) = self.state.destinations.get_mut(id) else { return };
         if result.outcome == AttemptOutcome::Served {
             destination.retry_tokens = (destination.retry_tokens + 1.0).min(RETRY_BUDGET_TOKENS);
-            // After a pause of this courier, the elapsed time is not the latency of the destination.
+            // After a pause of this courier, the elapsed time includes the pause, not only the latency.
             if self.delay <= 2 * self.settings.tick {
                 destination.latencies.record(result.elapsed, LATENCY_SAMPLES, high_percentile);
                 destination.update_average_latencies(result.elapsed, EWMA_WEIGHT, LATENCY_SAMPLES);
--- a/src/policy/rate.rs
+++ b/src/policy/rate.rs
@@ -32,11 +32,11 @@
 pub(super) const BURST_SECONDS: f64 = 0.5;
 /// Factor by which an approximate rate limit may exceed the true one.
 const APPROXIMATE_RATE_ERROR: f64 = 1.5;
-/// Lower bound, in calls a second, of the rate that the wait for the next token is divided by.
+/// Lower bound, in calls a second, of the rate in the wait for the next token: avoids a division by zero.
 const MIN_RATE: f64 = 1e-9;
 
 impl Limiter {
-    /// Checks for a pending Retry-After (rule 6) and an available token; `Err` is the time to check again.
+    /// Checks for a pending Retry-After (rule 6) and a token; `Err` is the clock time of the next check.
     pub(super) fn check_limit(&self, context: LimitContext) -> Result<(), Time> {
         if self.retry_after_until > context.now {
             return Err(self.retry_after_until);
@@ -51,7 +51,7 @@
         Err(context.now + (wait * NANOS_PER_SECOND) as Time + 1)
     }
 
-    /// Takes the cost of one call from the bucket: 1 ± jitter. `chance` is a random number in [0, 1).
+    /// Takes `1 + jitter ratio * (2 * chance - 1)` tokens for a call; `chance` is a random number in [0, 1).
     pub(super) fn spend_token(&mut self, chance: f64, context: LimitContext) {
         let cost = 1.0 + self.jitter_ratio(context) * (2.0 * chance - 1.0);
         self.bucket.tokens = (self.available_tokens(context) - cost).max(-1.0);
@@ -109,8 +109,9 @@
         }
     }
 
-    /// `(1 + capacity left) * fair share`, in calls a second, as all couriers read the same capacity left.
-    /// `None` without an exact limit, unless the last calls were rejected above it.
+    /// `(1 + capacity left) * fair share`, in calls a second, as all couriers read the same capacity left. A
+    /// report that is a second old, or followed by a failed call, counts as 0. `None` unless the limit is
+    /// exact or the last calls were rejected above it.
     fn healthy_rate(&self, context: LimitContext) -> Option<f64> {
         let reported_until = self.report.received_at + NANOS_PER_SECOND as Time;
         let fresh = self.failures.consecutive == 0 && context.now < reported_until;
@@ -188,21 +189,21 @@
     }
 
     /// Factor on the rate for the messages that wait here: `1 + (waiting - 1) * (1 - mean)`, at least 1, with
-    /// the estimated messages of an average courier as `mean`. At 1 or more, the others are taken to have as
-    /// many as this one; below 1, most have none waiting, and a courier that has several needs more.
+    /// the estimated messages of an average courier as `mean`. With a mean of 1 or more, the others are taken
+    /// to have as many as this one; below 1, most have none, and a courier with several needs more.
     fn demand(&self, mean: f64) -> f64 {
         1.0 + (self.waiting_messages - 1.0).max(0.0) * (1.0 - mean).max(0.0)
     }
 
-    /// This courier's served calls a second, averaged over the time since the limit is known.
+    /// This courier's served calls a second, averaged over the time since the limit became known.
     pub(super) fn usual_rate(&self, now: Time) -> f64 {
         let known_seconds = seconds(now.saturating_sub(self.served.known_since));
         self.served.calls / known_seconds.max(MIN_USUAL_RATE_SECONDS)
     }
 
     /// Estimated capacity of the limit for all couriers, in calls a second: the greatest of the reported
-    /// limit, `couriers * usual rate`, this courier's peak window times couriers, and a call a window. The
-    /// peak is multiplied by its number of calls at most: a courier that saw two calls in it is one of many.
+    /// limit, `couriers * usual rate`, `min(couriers, peak calls) * (peak calls - 1) / window` and a call a
+    /// window. `min`: a courier that served at most two calls in any window is one of many couriers.
     fn capacity(&self, context: LimitContext) -> f64 {
         let window = context.window_seconds();
         let couriers = f64::from(context.settings.courier_count.max(1));
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) message: u32,
-    /// The number of the attempt, counted from 0 for each message.
+    /// Number of the attempt, counted from 0 for each message.
     pub(crate) attempt: u16,
 }
 
@@ -22,19 +22,21 @@
     pub(crate) sent_at: Time,
     /// Sequence number of the call that carries the attempt.
     pub(crate) call: u64,
-    /// Whether the dispatcher has requested its cancellation.
+    /// Whether the dispatcher has requested the attempt's cancellation.
     pub(crate) cancelled: bool,
 }
 
 /// An attempt whose result has arrived, as removed from the table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FinishedAttempt {
+    /// Clock time of sending, in nanoseconds.
     pub(crate) sent_at: Time,
+    /// Whether the dispatcher had requested the attempt's cancellation.
     pub(crate) cancelled: bool,
-    /// Whether no other attempt of its call is in flight any longer.
+    /// Whether the attempt was the last one in flight of the call that carried it.
     pub(crate) call_ended: bool,
-    /// Whether its outcome is the first of its call that applies to the whole call
-    /// ([`AttemptOutcome::applies_to_call`]). Only that one counts for health and latencies.
+    /// Whether the attempt's outcome is the first in its call that applies to the whole call
+    /// ([`AttemptOutcome::applies_to_call`]). Only this first outcome counts for health and latencies.
     pub(crate) first_outcome: bool,
 }
 
@@ -78,7 +80,8 @@
         self.in_flight.insert(attempt.id, attempt);
     }
 
-    /// Marks an attempt as cancelled; returns the time of sending, or `None` when it is not in flight.
+    /// Marks an attempt as cancelled. Returns the clock time of sending in nanoseconds, or `None` when the
+    /// attempt is not in flight.
     pub(super) fn mark_cancelled(&mut self, id: AttemptId) -> Option<Time> {
         let attempt = self.in_flight.get_mut(&id)?;
         attempt.cancelled = true;
--- a/src/state/deadline_index.rs
+++ b/src/state/deadline_index.rs
@@ -140,7 +140,7 @@
     }
 
     /// Moves the attempts of the messages for which `belongs` is true from one group to another, and sets the
-    /// span of that group.
+    /// span of the group `to`, in nanoseconds, if any attempt moved.
     pub(crate) fn move_attempts(
         &mut self,
         from: AttemptGroup,
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -7,7 +7,7 @@
 /// Which limit the calls of a limiter count against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LimitScope {
-    /// Its own limit: the limiter is that of a destination or of an independent route.
+    /// A limit of the limiter's own: the limiter is that of a destination or of an independent route.
     OwnLimit,
     /// The limit of the destination: the limiter is that of one endpoint among several that share it.
     SharedEndpoint,
@@ -20,9 +20,10 @@
     pub(crate) kind: DestinationKind,
     pub(crate) endpoints: BTreeSet<u32>,
     pub(crate) queue: DestinationQueue,
-    /// Clock time of the last send to it, in nanoseconds; waiting destinations are served in this order.
+    /// Clock time of the last send to the destination, in nanoseconds. Destinations with waiting messages are
+    /// served in this order, the least recent send first.
     pub(crate) last_sent_at: Time,
-    /// Number of calls in flight to all of its endpoints.
+    /// Number of calls of this courier in flight to all endpoints of the destination.
     pub(crate) calls_in_flight: u32,
     /// Exponential backoff after local faults (attempts that this machine could not begin), in nanoseconds;
     /// 0 after an attempt that could begin.
@@ -32,14 +33,15 @@
     /// Tokens in the retry budget: a served call adds one, any other call costs several, and retries and
     /// hedges need a minimum.
     pub(crate) retry_tokens: f64,
-    /// Latencies of its last served calls.
+    /// Latencies of the last served calls to the destination.
     pub(crate) latencies: LatencySamples,
     /// Whether the destination's attempts have their own groups in the index of overdue attempts. Until there
     /// are enough latency samples, they are in the shared group of their class.
     pub(crate) has_own_groups: bool,
     /// EWMA of the latency of served calls with a small weight, in nanoseconds; 0 before the first.
     pub(crate) usual_latency: f64,
-    /// EWMA of the same latencies with a large weight, in nanoseconds: follows the last few calls.
+    /// EWMA of the latency of served calls with a large weight, in nanoseconds, so that it follows the last
+    /// few calls; 0 before the first.
     pub(crate) recent_latency: f64,
 }
 
@@ -81,7 +83,7 @@
         self.usual_latency += (latency - self.usual_latency) / usual_samples as f64;
     }
 
-    /// Returns the scope of the limiter of each of its endpoints.
+    /// Returns the scope of the limiters of the destination's endpoints.
     pub(crate) fn endpoint_scope(&self) -> LimitScope {
         if self.kind.independent_routes {
             LimitScope::OwnLimit
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Returns the limiter of the limit that calls to one of its endpoints count against.
+    /// Returns the limiter of the limit that calls to `endpoint`, one of the destination's endpoints, count
+    /// against.
     pub(crate) fn limiter_for<'a>(&'a mut self, endpoint: &'a mut EndpointState) -> &'a mut Limiter {
         match self.endpoint_scope() {
             LimitScope::OwnLimit => &mut endpoint.limiter,
@@ -98,8 +101,8 @@
         }
     }
 
-    /// Copies the number of waiting messages to its limiter and to the limiter of each endpoint, as each
-    /// endpoint could serve all of them.
+    /// Copies the number of messages in the queue to the limiter of the destination and to that of each
+    /// endpoint, as each endpoint could serve all of them.
     pub(crate) fn update_waiting_messages(&mut self, endpoints: &mut Table<EndpointState>) {
         self.limiter.waiting_messages = self.queue.len() as f64;
         for &id in &self.endpoints {
--- a/src/state/dispatch_state.rs
+++ b/src/state/dispatch_state.rs
@@ -21,16 +21,16 @@
     sequence: u64,
     pub(crate) destinations: Table<Destination>,
     pub(crate) endpoints: Table<EndpointState>,
-    /// Messages by number, from acceptance until they are completed and nothing of them is in flight.
+    /// Messages by number, from acceptance until they are completed and have no attempt in flight.
     pub(crate) messages: BTreeMap<u32, Message>,
     pub(crate) attempts: AttemptTable,
     pub(crate) key_queues: KeyQueues,
     /// Messages without a final answer, ordered by deadline.
     pub(crate) deadlines: BTreeSet<MessageTime>,
     pub(crate) wait_queue: WaitQueue,
-    /// Attempts that are in flight and not cancelled, by the time at which they become overdue.
+    /// Attempts that are in flight and not cancelled, by the clock time at which they become overdue.
     pub(crate) overdue_index: DeadlineIndex,
-    /// Lone attempts ([`Message::lone_attempt`]), by the time from which they may be hedged.
+    /// Lone attempts ([`Message::lone_attempt`]), by the clock time from which they may be hedged.
     pub(crate) hedge_index: DeadlineIndex,
 }
 
@@ -57,8 +57,8 @@
         destination.map_or(LimitScope::SharedEndpoint, Destination::endpoint_scope)
     }
 
-    /// Returns the limiter of the limit that a call to this endpoint counts against: its own if it is an
-    /// independent route, or else that of its destination.
+    /// Returns the limiter of the limit that a call to this endpoint counts against: that of the endpoint if
+    /// it is an independent route, or else that of the destination. `None` for an unknown endpoint.
     pub(crate) fn limiter(&self, endpoint: u32) -> Option<&Limiter> {
         let endpoint = self.endpoints.get(endpoint)?;
         let destination = self.destinations.get(endpoint.destination)?;
--- a/src/state/dispatch_state/attempts.rs
+++ b/src/state/dispatch_state/attempts.rs
@@ -12,10 +12,10 @@
     pub(crate) endpoint: u32,
     pub(crate) destination: u32,
     pub(crate) class: usize,
-    /// The endpoint has not answered any call since the attempt was sent.
+    /// Whether the endpoint has answered no call since the attempt was sent.
     pub(crate) endpoint_silent: bool,
-    /// No endpoint of the destination has answered any call since the attempt was sent. The limiter of
-    /// the destination records no outcomes of independent routes, so this is true for them.
+    /// Whether no endpoint of the destination has answered a call since the attempt was sent. Always true for
+    /// independent routes, as the destination's limiter records no outcomes of their calls.
     pub(crate) destination_silent: bool,
 }
 
@@ -29,7 +29,7 @@
         sends > 0 && sends < destination.kind.max_messages_per_call
     }
 
-    /// Starts a new call to an endpoint, as yet without messages, and counts it as in flight.
+    /// Starts a new call to an endpoint, still without messages, and counts it as in flight.
     pub(crate) fn open_call(&mut self, endpoint: u32, destination: u32, now: Time) {
         let call = self.next_sequence();
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
@@ -72,7 +72,7 @@
     }
 
     /// Removes a finished attempt, and its call if this was the last attempt in it. Returns `None` when the
-    /// attempt is not in flight, as after an earlier result.
+    /// attempt is not in flight, for example because it had a result before.
     pub(crate) fn take_finished(&mut self, result: &AttemptResult) -> Option<FinishedAttempt> {
         let id = AttemptId { message: result.message, attempt: result.attempt };
         let finished = self.attempts.finish(id, result.outcome)?;
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Updates the message of a finished attempt.
+    /// Updates the message of a finished attempt: one attempt fewer is in flight, and the attempt is no
+    /// longer a possible execution if the outcome rules that out.
     pub(crate) fn record_result(&mut self, result: &AttemptResult) {
         let Some(message) = self.messages.get_mut(&result.message) else { return };
         message.attempts_in_flight -= 1;
--- a/src/state/dispatch_state/deadlines.rs
+++ b/src/state/dispatch_state/deadlines.rs
@@ -4,14 +4,14 @@
 use crate::interface::Time;
 use crate::state::{AttemptGroup, AttemptId, Message, SentAttempt};
 
-/// Time from sending until the attempts of a group come due in each index, in nanoseconds.
+/// Time from sending until the attempts of a group come due in each deadline index, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupSpans {
-    /// An attempt of the group is overdue after this.
+    /// Time from sending until an attempt of the group is overdue.
     pub(crate) overdue: Time,
-    /// An attempt of the shared group of the same class is overdue after this.
+    /// Time from sending until an attempt of the shared group of the same class is overdue.
     pub(crate) shared_overdue: Time,
-    /// A lone attempt of the group may be hedged after this.
+    /// Time from sending until the only attempt in flight of a message in the group may be hedged.
     pub(crate) hedge: Time,
 }
 
@@ -24,7 +24,7 @@
         AttemptGroup { destination: has_own_groups.then_some(message.destination), class: message.class }
     }
 
-    /// Removes an attempt from the overdue index.
+    /// Removes an attempt from the overdue index; `sent_at` is the clock time of sending, in nanoseconds.
     pub(super) fn forget_overdue(&mut self, id: AttemptId, sent_at: Time) {
         let Some(message) = self.messages.get(&id.message) else { return };
         let group = self.overdue_group(message);
@@ -56,15 +56,16 @@
         }
     }
 
-    /// Sets the times after which the attempts of a group of one destination come due.
+    /// Sets the spans after which the attempts of a destination's group come due, and the overdue span of the
+    /// shared group of the same class.
     pub(crate) fn set_spans(&mut self, group: AttemptGroup, spans: GroupSpans) {
         self.overdue_index.set_span(group, spans.overdue);
         self.overdue_index.set_span(group.shared(), spans.shared_overdue);
         self.hedge_index.set_span(group, spans.hedge);
     }
 
-    /// Gives a destination its own groups once it has enough latency samples for a percentile; returns true
-    /// if it got them now.
+    /// Gives a destination its own groups in the overdue index once it has enough latency samples for a
+    /// percentile. Returns true if this call gave it the groups.
     pub(crate) fn start_own_groups(&mut self, destination: u32) -> bool {
         let Some(destination) = self.destinations.get_mut(destination) else { return false };
         let starts = !destination.has_own_groups && destination.latencies.high_percentile.is_some();
@@ -72,7 +73,8 @@
         starts
     }
 
-    /// Moves the attempts to the destination of `group` from the shared group of the class to `group`.
+    /// Moves the attempts that were sent to the destination of `group` from the shared group of the class to
+    /// `group`, with an overdue span in nanoseconds.
     pub(crate) fn leave_shared_group(&mut self, group: AttemptGroup, overdue_span: Time) {
         let messages = &self.messages;
         let belongs = |message: u32| Some(messages[&message].destination) == group.destination;
--- a/src/state/dispatch_state/messages.rs
+++ b/src/state/dispatch_state/messages.rs
@@ -6,8 +6,9 @@
 use std::collections::BTreeSet;
 
 impl DispatchState {
-    /// Adds an accepted message, with the attempts that earlier processes of this courier made if it was
-    /// recovered. Returns false when a message of this number exists already.
+    /// Adds a message that is accepted at clock time `now`. `recovered` has the attempts that earlier
+    /// processes of this courier made, or is `None` for a message that is new. Returns false when a message
+    /// of this number exists already.
     pub(crate) fn insert_message(
         &mut self,
         accepted: &AcceptedMessage,
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -11,10 +11,10 @@
     pub(crate) destination: u32,
     pub(crate) zone: u8,
     pub(crate) status: EndpointStatus,
-    /// Number of calls in flight to it.
+    /// Number of calls of this courier in flight to the endpoint.
     pub(crate) calls_in_flight: u32,
-    /// Clock time in nanoseconds until which messages of a class prefer other endpoints, because an attempt
-    /// of the class here was overdue or ended with an error or a timeout.
+    /// By class: clock time in nanoseconds until which messages of the class prefer other endpoints, because
+    /// an attempt of the class at this endpoint was overdue or ended with an error or a timeout.
     pub(crate) avoided_until: BTreeMap<usize, Time>,
     /// Jitter in the cost of the endpoint, so that couriers prefer different endpoints: drawn once from an
     /// exponential distribution with mean 1.
@@ -55,9 +55,9 @@
 pub(crate) struct OpenCall {
     /// Sequence number of the call.
     pub(crate) call: u64,
-    /// Clock time of the decision cycle that started it, in nanoseconds.
+    /// Clock time of the decision cycle that started the call, in nanoseconds.
     pub(crate) started_at: Time,
-    /// Number of messages in it.
+    /// Number of messages in the call.
     pub(crate) sends: u32,
 }
 
--- a/src/state/latency.rs
+++ b/src/state/latency.rs
@@ -7,15 +7,16 @@
 /// [`record`](Self::record) chooses the percentile and the minimum number of samples.
 #[derive(Debug, Default)]
 pub(crate) struct LatencySamples {
-    /// The latencies, oldest first.
+    /// The latencies in nanoseconds, oldest first.
     samples: VecDeque<Time>,
-    /// The percentile that the caller computed from `samples`; `None` while there are too few.
+    /// The percentile of `samples` that the caller chose, in nanoseconds; `None` while there are too few
+    /// samples.
     pub(crate) high_percentile: Option<Time>,
 }
 
 impl LatencySamples {
     /// Adds a latency, keeps the last `capacity` and recomputes the percentile: `percentile` takes the
-    /// latencies in ascending order and returns `None` if they are too few.
+    /// latencies in ascending order, and returns `None` if there are too few of them.
     pub(crate) fn record(
         &mut self,
         latency: Time,
--- a/src/state/limiter.rs
+++ b/src/state/limiter.rs
@@ -87,6 +87,7 @@
     pub(crate) known_since: Time,
     /// Number of calls served since `known_since`.
     pub(crate) calls: f64,
+    /// Clock time of the first call in the present window, in nanoseconds.
     window_start: Time,
     /// Number of calls served in the present window.
     window_calls: f64,
@@ -124,10 +125,11 @@
 /// Token bucket that paces the calls to a limit. [`crate::policy`] decides its refill rate and its size.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenBucket {
-    /// Tokens in the bucket at `refilled_at`; a call needs one. Negative after a call of random cost or a
-    /// deferral.
+    /// Tokens in the bucket at `refilled_at`; a call needs one. Negative after a call whose cost was above 1
+    /// because of jitter, or while the next call is deferred after a failure.
     pub(crate) tokens: f64,
-    /// Clock time from which tokens are refilled; in the future while a Retry-After is pending.
+    /// Clock time from which tokens are refilled, in nanoseconds; in the future while a Retry-After is
+    /// pending.
     pub(crate) refilled_at: Time,
 }
 
@@ -151,8 +153,9 @@
     pub(crate) report: LimitReport,
     /// Whether a call was rejected as above the limit and none has been served since.
     pub(crate) rejected_above_limit: bool,
-    /// Learned share of this courier, as a multiple of an equal share of the limit among all couriers:
-    /// infinite before the first rejection above the limit, reset by each one, adapted by served calls.
+    /// Learned share of this courier, as a multiple of an equal share of the limit among all couriers.
+    /// Infinite before the first rejection above the limit; each such rejection resets it, served calls adapt
+    /// it.
     pub(crate) shares_taken: f64,
     pub(crate) bucket: TokenBucket,
 }
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Records the rate limit and the capacity left that a result reports; ignores one without a rate limit.
+    /// Records the rate limit and the capacity left that a result reports, at clock time `now`. A result that
+    /// reports no rate limit is ignored.
     pub(crate) fn record_report(&mut self, now: Time, result: &AttemptResult) {
         let Some(rate_limit) = result.rate_limit.filter(|&limit| limit > 0.0) else { return };
         self.report.rate_limit = rate_limit;
@@ -197,7 +201,7 @@
         true
     }
 
-    /// Whether only recovery trials are sent.
+    /// Whether the limit is ejected: only recovery trials are sent.
     pub(crate) fn is_ejected(&self) -> bool {
         matches!(self.circuit, CircuitState::Open { .. })
     }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -10,7 +10,7 @@
     pub(crate) sent_at: Time,
     /// Number of the attempt, counted from 0 for each message.
     pub(crate) attempt: u16,
-    /// Zone of the endpoint that it was sent to.
+    /// Number of the zone of the endpoint that the attempt was sent to.
     pub(crate) zone: u8,
 }
 
@@ -52,8 +52,8 @@
     /// Time from which the message may no longer be retried; `None` while it does not wait or has no such
     /// time.
     pub(crate) retry_expiry: Option<Time>,
-    /// The message's entry in the hedge index: its only attempt in flight. `None` if that is cancelled or the
-    /// message has its final answer.
+    /// The message's entry in the hedge index: its only attempt in flight. `None` if several attempts or none
+    /// are in flight, if the only one is cancelled, or if the message has its final answer.
     pub(crate) lone_attempt: Option<SentAttempt>,
     /// Value of `attempts` as long as no attempt since the recovery is in flight or may have reached an
     /// endpoint. Set only for a recovered message that was certainly not executed before the recovery.
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Restores the attempts that earlier processes made.
+    /// Restores the attempts that earlier processes made for the message; `now` is the clock time of the
+    /// recovery.
     pub(super) fn restore(&mut self, recovered: &RecoveredAttempts, now: Time) {
         self.attempts = recovered.attempts;
         self.uncalled_attempts = recovered.unresolved.is_empty().then_some(recovered.attempts);
@@ -98,29 +99,31 @@
         }
     }
 
-    /// Returns its position among messages in order of acceptance.
+    /// Returns the message's position in any queue, which is in order of acceptance.
     pub(crate) fn position(&self) -> QueuePosition {
         QueuePosition { sequence: self.sequence, message: self.id }
     }
 
-    /// Returns the attempt group of its destination and class.
+    /// Returns the attempt group of the message's destination and class.
     pub(crate) fn group(&self) -> AttemptGroup {
         AttemptGroup { destination: Some(self.destination), class: self.class }
     }
 
-    /// Returns the first sent of the attempts that may have been executed.
+    /// Returns the earliest sent of the attempts that may have been executed; `None` if there are none.
     pub(crate) fn first_possible_execution(&self) -> Option<PossibleExecution> {
         self.possibly_executed.iter().min().copied()
     }
 
-    /// Whether it was recovered, certainly not executed before, and no attempt since has reached an endpoint.
+    /// Whether the message was recovered as certainly not executed, and no attempt since the recovery is in
+    /// flight or may have reached an endpoint ([`uncalled_attempts`](Self::uncalled_attempts)).
     pub(crate) fn awaits_first_call(&self) -> bool {
         self.uncalled_attempts == Some(self.attempts)
     }
 
-    /// Records that one of its attempts was certainly not executed: removes it from `possibly_executed`,
-    /// counts it if it was a local fault, and updates `uncalled_attempts`. Of these outcomes, only
-    /// [`AttemptOutcome::Rejected`] shows that the attempt reached an endpoint.
+    /// Records that an attempt of the message was certainly not executed: removes it from
+    /// `possibly_executed`, counts it if it was a local fault, and updates `uncalled_attempts`. Of the
+    /// outcomes without execution, only [`AttemptOutcome::Rejected`] shows that the attempt reached an
+    /// endpoint.
     pub(crate) fn record_not_executed(&mut self, attempt: u16, outcome: AttemptOutcome) {
         self.possibly_executed.retain(|execution| execution.attempt != attempt);
         self.local_faults += u16::from(outcome == AttemptOutcome::LocalFault);
--- a/src/state/shed_order.rs
+++ b/src/state/shed_order.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Sheddable {
     by_age: BTreeSet<AgedMessage>,
-    /// Time of acceptance of each message, by queue position.
+    /// Clock time of acceptance of each message in nanoseconds, by queue position.
     by_position: BTreeMap<QueuePosition, Time>,
 }
 
@@ -165,8 +165,9 @@
         next.map(|message| self.head(head.list, message))
     }
 
-    /// Corrects the choice in `long_lists`, which have more than `count` messages of the greatest chosen
-    /// weight: replaces those chosen by the first `count` of that weight by queue position.
+    /// Corrects the choice from `long_lists`, which have more than `count` messages of the greatest chosen
+    /// weight: removes their chosen messages of that weight, and chooses instead the first `count` messages
+    /// of that weight in order of queue position.
     fn replace_long_runs(&self, chosen: &mut Vec<Candidate>, long_lists: BTreeSet<usize>) {
         let Some(greatest) = chosen.last().map(|last| last.weight) else { return };
         chosen.retain(|candidate| candidate.weight < greatest || !long_lists.contains(&candidate.list));
--- a/src/state/wait_queue.rs
+++ b/src/state/wait_queue.rs
@@ -5,7 +5,8 @@
 use crate::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Index entry of a message by one of its deadlines. Entries sort by the deadline, earliest first.
+/// Index entry of a message by a clock time: its deadline, or the time from which it may no longer be
+/// retried. Entries sort by the time, earliest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageTime {
     /// Clock time in nanoseconds.
@@ -17,9 +18,11 @@
 /// if the oldest may not be sent, none of the others may. The exception is [`QueueState::KeyCooldown`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum QueueState {
-    /// The message is certainly not executed, and may be sent to any endpoint.
+    /// A first attempt or a retry, where the message was certainly not executed before: it may be sent to any
+    /// endpoint.
     NotExecuted,
-    /// An attempt may have been executed. A retry may go to any endpoint, or only to those in `zone` if set.
+    /// A retry of a message that may have been executed: it may be sent to any endpoint (`None`), or only to
+    /// endpoints in `zone`.
     Retry { zone: Option<u8> },
     /// The message's ordering key is in cooldown. Keys end their cooldowns at different times.
     KeyCooldown,
@@ -32,7 +35,7 @@
 /// Indexes over the wait queues of all destinations.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    /// Waiting messages by the time from which they may no longer be retried.
+    /// Waiting messages by the clock time from which they may no longer be retried.
     pub(crate) retry_expiries: BTreeSet<MessageTime>,
     /// Destinations whose wait queue is not empty.
     pub(crate) destinations: BTreeSet<u32>,
--- a/src/state/wake_up.rs
+++ b/src/state/wake_up.rs
@@ -8,9 +8,10 @@
 /// Merges the wake-up times of one decision cycle into at most one request to the courier.
 #[derive(Debug)]
 pub(crate) struct WakeUpTimer {
-    /// Clock time by which the present cycle needs the next one: the minimum over `want_by` calls.
+    /// Clock time, in nanoseconds, by which the present cycle needs the next one: the minimum over the calls
+    /// of [`want_by`](Self::want_by) in this cycle.
     wanted_at: Time,
-    /// Clock time of the wake-up that was requested last; a new request replaces it.
+    /// Clock time, in nanoseconds, of the wake-up that was requested last; a new request replaces it.
     pending_at: Time,
 }
 
