--- a/crates/courier-common/src/idle_reuse/max_idle.rs
+++ b/crates/courier-common/src/idle_reuse/max_idle.rs
@@ -4,10 +4,10 @@
 
 /// Maximum time for which a connection may be idle and still be reused.
 ///
-/// A loss is a connection that breaks on the first call after an idle period, or stays silent on it while its
-/// endpoint answers other calls. It sets the maximum to half of that idle time, or to half of the present
-/// maximum if that is shorter. Without further losses the maximum doubles each time a full `idle_timeout` has
-/// passed, up to `idle_timeout`.
+/// A loss is a connection that breaks on the first call after an idle period, or leaves that call unanswered
+/// while the endpoint answers other calls. It sets the maximum to half of that idle time, or to half of the
+/// present maximum if that is shorter. Without further losses the maximum doubles each time a full
+/// `idle_timeout` has passed, up to `idle_timeout`.
 #[derive(Clone, Copy, Debug)]
 pub struct MaxIdlePolicy {
     /// Idle time in nanoseconds after which a connection is closed even without any loss.
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -9,7 +9,7 @@
 pub enum EndpointStatus {
     /// In service.
     Ready,
-    /// In graceful shutdown: it finishes the calls in flight and accepts no new ones.
+    /// In graceful shutdown: the endpoint finishes the calls in flight and accepts no new ones.
     Draining,
     /// No longer in the list.
     #[default]
@@ -191,7 +191,7 @@
         /// All entries of a complete list, or else the entries that changed.
         entries: Vec<Endpoint>,
     },
-    /// A poll of the endpoint list failed, or its watch ended.
+    /// A poll of the endpoint list failed, or the watch of the list ended.
     #[cfg_attr(feature = "serde", serde(rename = "ListFailed"))]
     EndpointListFailed,
     /// A message was submitted and accepted.
@@ -210,7 +210,7 @@
         #[cfg_attr(feature = "serde", serde(rename = "open"))]
         unresolved: Vec<UnresolvedAttempt>,
     },
-    /// The client cancelled its message, or disconnected.
+    /// The client cancelled the message, or disconnected.
     #[cfg_attr(feature = "serde", serde(rename = "Withdrawn"))]
     ClientCancelled {
         /// Number of the message.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,11 +1,11 @@
-//! Settings of a dispatcher. They are fixed when it is created.
+//! Settings of a dispatcher. They are fixed when the dispatcher is created.
 
 use super::Time;
 
 /// Limits, classes and prices of one deployment.
 ///
 /// Values that a deployment does not specify stay at their `Default`. All times are in nanoseconds
-/// ([`Time`]).
+/// ([`Time`]), and all prices are fractions of a message's priority weight.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
@@ -34,8 +34,8 @@
     /// Maximum number of calls that this courier may have in flight at once: its slots.
     #[cfg_attr(feature = "serde", serde(rename = "slots"))]
     pub max_in_flight_calls: u32,
-    /// Maximum number of messages that this courier may have in flight at once, sent or not. It rejects any
-    /// message beyond that.
+    /// Maximum number of messages that this courier may have in flight at once, sent or not. The courier
+    /// rejects any message beyond this number.
     #[cfg_attr(feature = "serde", serde(rename = "max_held"))]
     pub max_in_flight_messages: u32,
     /// Maximum number of attempts for a message.
@@ -76,11 +76,12 @@
     /// destination's present capacity for [`overload_window`](Self::overload_window).
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_ratio: f64,
-    /// How long an overload must last to make a destination fail again.
+    /// How long the call rate must stay above [`overload_ratio`](Self::overload_ratio) to make a destination
+    /// fail again.
     #[cfg_attr(feature = "serde", serde(rename = "fall_span"))]
     pub overload_window: Time,
-    /// After an attempt that may still run, the time for which the next message of its ordering key is held
-    /// back.
+    /// Time for which the next message of an ordering key is held back after an attempt that may still run
+    /// (rule 5).
     #[cfg_attr(feature = "serde", serde(rename = "key_rest"))]
     pub key_cooldown: Time,
     /// Whether the dispatcher must request the endpoint list
@@ -105,22 +106,22 @@
     pub wasted_work_price: f64,
     /// Price of each unit of weight that a message loses after its latency objective.
     pub late_price: f64,
-    /// Price of a health check for each message.
+    /// Price of a health check, per message.
     #[cfg_attr(feature = "serde", serde(rename = "probe_price"))]
     pub health_check_price: f64,
-    /// Price of full gossip for each message.
+    /// Price of full gossip, per message.
     #[cfg_attr(feature = "serde", serde(rename = "note_price"))]
     pub gossip_price: f64,
-    /// Price of a call rejected above a limit.
+    /// Price of a call that is rejected above a limit.
     #[cfg_attr(feature = "serde", serde(rename = "refused_price"))]
     pub rejected_call_price: f64,
-    /// Price of a message that an independent route accepts, by the zone of the route.
+    /// Price of a message that an independent route accepts; the index is the number of the route's zone.
     pub route_fees: Vec<f64>,
 }
 
 impl Settings {
-    /// Returns a kind of destination by its number. An unknown kind has a shared limit and one message per
-    /// call.
+    /// Returns the kind of destination with this number. An unknown kind has a shared limit and one message
+    /// per call.
     pub(crate) fn kind(&self, number: u8) -> DestinationKind {
         let unknown = DestinationKind { independent_routes: false, max_messages_per_call: 1 };
         self.kinds.get(usize::from(number)).copied().unwrap_or(unknown)
@@ -151,8 +152,8 @@
 }
 
 impl Class {
-    /// Whether an attempt of a message may begin only after it is recorded in storage that survives the
-    /// process.
+    /// Whether an attempt of a message may begin only after the attempt is recorded in storage that survives
+    /// the process.
     ///
     /// After a restart, an attempt without a record is made again. That is harmless for an idempotent
     /// message. But a message that is not idempotent would take effect twice, as would a keyed message after
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -39,7 +39,7 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without endpoints and messages; `seed` is the seed of its random numbers.
+    /// Creates a dispatcher without endpoints and messages; `seed` initializes the random number generator.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let next_at = if settings.endpoint_list_polled { 0 } else { NEVER };
         Dispatcher {
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -37,8 +37,8 @@
         self.state.update_lone_attempt(id, delay);
     }
 
-    /// Updates the times at which attempts to a destination are overdue or may be hedged, after its latencies
-    /// or endpoints changed.
+    /// Updates the times at which attempts to a destination are overdue or may be hedged, after the latencies
+    /// or the endpoints of the destination changed.
     pub(super) fn update_spans(&mut self, id: u32) {
         let gets_own_groups = self.state.start_own_groups(id);
         for class in 0..self.settings.classes.len() {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Records the outcome of a call with the limiter of its endpoint and, for a shared limit, that of its
-    /// destination, and reports a change of the circuit breaker.
+    /// Records the outcome of a call with the limiter of the endpoint and, if the endpoints share a limit,
+    /// with that of the destination. Reports a change of that limit's circuit breaker.
     fn record_limit_outcome(&mut self, result: &AttemptResult, sent_at: Time) {
         let outcome = result.outcome;
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return };
--- a/src/policy/rate.rs
+++ b/src/policy/rate.rs
@@ -7,8 +7,8 @@
 /// Factor on the call rate that rule 4 allows, where that is at least half a call per overload window:
 /// variable network latency can bring more calls into one window than were sent in it.
 const BUDGET_RATIO: f64 = 0.9;
-/// Factor on the same rate where that is near 0, growing linearly to [`BUDGET_RATIO`]: calls of several
-/// couriers may coincide by chance.
+/// Factor on the call rate that rule 4 allows, where that is near 0; it grows linearly to [`BUDGET_RATIO`] at
+/// half a call per window. Calls of several couriers may coincide by chance.
 const SPARSE_BUDGET_RATIO: f64 = 0.5;
 /// How long before this courier's first failure others may have seen the outage, in overload windows.
 const SEEN_BEFORE_WINDOWS: f64 = 2.0;
@@ -165,9 +165,9 @@
         }
     }
 
-    /// This courier's fair share of the limit, in calls a second: `max(equal share, demand / period)`. In one
-    /// period, the overload window or longer after a rejection, as many couriers are taken to want the limit
-    /// as it admits calls. At most `shares_taken` equal shares, unless these are too small to adapt.
+    /// This courier's fair share, in calls a second: `max(equal share, demand / period)`. In one period, the
+    /// overload window or longer after a rejection, as many couriers are taken to want the limit as it admits
+    /// calls. At most `shares_taken` equal shares, unless one is under a call in 10 s, too few to adapt.
     fn fair_rate(&self, settings: &Settings) -> f64 {
         let equal_share = self.equal_share(settings);
         let window = seconds(settings.overload_window);
@@ -179,8 +179,8 @@
         equal_share.max(self.demand(equal_share * period) / period).min(learned_rate)
     }
 
-    /// `reported limit / courier count`, in calls a second. Without a report, the rate in this courier's peak
-    /// overload window, less one call of it.
+    /// `reported limit / courier count`, in calls a second. Without a report, `(calls served in this
+    /// courier's peak overload window - 1) / overload window`, at least 0.
     pub(super) fn equal_share(&self, settings: &Settings) -> f64 {
         if self.report.rate_limit > 0.0 {
             return self.report.rate_limit / f64::from(settings.courier_count.max(1));
--- a/src/state/limiter.rs
+++ b/src/state/limiter.rs
@@ -40,8 +40,8 @@
     /// Ejected at clock time `since`: only recovery trials are sent. `confirmed` is true once a call has
     /// failed or was rejected, and false while calls are only overdue.
     Open { since: Time, confirmed: bool },
-    /// Recovering: slow start, in which the assumed capacity grows linearly from clock time `since` on. That
-    /// is in the future while a Retry-After of the outage is pending.
+    /// Recovering: slow start, in which the assumed capacity grows linearly from clock time `since` on.
+    /// `since` is in the future while a Retry-After of the outage is pending.
     SlowStart { since: Time },
 }
 
@@ -50,7 +50,7 @@
 pub(crate) enum EjectionCause {
     /// A call failed or was rejected.
     Failure,
-    /// A call is overdue and none was answered since it was sent.
+    /// A call is overdue, and no call was answered since the overdue one was sent.
     Silence,
 }
 
@@ -63,8 +63,8 @@
     pub(crate) rate: f64,
     /// Number of failures and rejections since the last served call.
     pub(crate) consecutive: u32,
-    /// Start of the present outage: the first failure or rejection of the run, or an ejection for silence.
-    /// A slow start does not change it. While the limit is healthy, it is the time of the last outcome.
+    /// Start of the present outage: the first failure or rejection of the run, or an ejection for silence. A
+    /// slow start does not change this time. While the limit is healthy, it is the time of the last outcome.
     pub(crate) since: Time,
     /// Time of the last failure, rejection or ejection.
     pub(crate) last_at: Time,
