--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A fault that the shim can inject. The order is that of `enum fault` in the shim.
+/// A fault that the shim can inject. The variants have the order of `enum fault` in the shim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Fault {
@@ -133,7 +133,7 @@
         Ok(FaultControl { path: path.to_owned(), directory: directory.to_owned(), file })
     }
 
-    /// Opens an existing control file and keeps its faults.
+    /// Opens the existing control file at `path` and keeps its rates, seed and counts.
     pub fn open(path: &Path, directory: &Path) -> io::Result<FaultControl> {
         let file = File::options().read(true).write(true).open(path)?;
         Ok(FaultControl { path: path.to_owned(), directory: directory.to_owned(), file })
@@ -155,12 +155,12 @@
         Fault::ALL.into_iter().for_each(|fault| self.set(fault, 0));
     }
 
-    /// Sets the child's wall clock ahead of the real one by this time.
+    /// Sets the child's wall clock ahead of the real one by `step`, in whole milliseconds.
     pub fn step_wall_clock_forward(&self, step: Duration) {
         self.set_wall_offset(step.as_millis() as i64);
     }
 
-    /// Sets the child's wall clock behind the real one by this time.
+    /// Sets the child's wall clock behind the real one by `step`, in whole milliseconds.
     pub fn step_wall_clock_back(&self, step: Duration) {
         self.set_wall_offset(-(step.as_millis() as i64));
     }
@@ -188,7 +188,7 @@
     }
 }
 
-/// Returns the path of the shim.
+/// Returns the path of the shim, the shared library that is preloaded into the child.
 pub fn shim_path() -> &'static Path {
     Path::new(env!("FAULT_SHIM"))
 }
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -27,6 +27,10 @@
 impl ChunkedDecoder {
     /// Decodes received bytes and appends the data of the chunks to `out`. Returns `true` once the size line
     /// of the last chunk (size 0) has arrived; trailers are not read.
+    ///
+    /// # Errors
+    ///
+    /// If the body is malformed, or a chunk size line is too long.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<bool, InvalidChunk> {
         self.undecoded.extend_from_slice(bytes);
         let mut position = 0;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,12 +1,12 @@
 //! HTTP/1.1 framing for clients and servers: where requests, responses and bodies begin and end in a
 //! connection's bytes.
 //!
-//! It performs no I/O, and all sizes are bounded: a head, its fields and a body beyond their maximum are
-//! errors that end the connection. It never interprets a path, an application's header field or a body.
+//! The crate performs no I/O, and all sizes are bounded: a head, its fields and a body beyond their maximum
+//! are errors that end the connection. It never interprets a path, an application's header field or a body.
 //!
-//! It is stricter than RFC 9112 where two lenient readers could disagree on where a request ends (request
-//! smuggling): a length is one decimal number given once, and a request with `Transfer-Encoding` is rejected
-//! without reading its body.
+//! The crate is stricter than RFC 9112 where two lenient readers could disagree on where a request ends
+//! (request smuggling): a length is one decimal number given once, and a request with `Transfer-Encoding` is
+//! rejected without reading its body.
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, missing_docs)]
 
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -93,6 +93,10 @@
 }
 
 /// Parses the request at the start of these bytes. Returns `None` while more bytes are needed.
+///
+/// # Errors
+///
+/// If the bytes cannot become a valid request or exceed a limit; see [`RequestError`].
 pub fn parse_request(bytes: &[u8]) -> Result<Option<Request<'_>>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut headers);
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -25,12 +25,12 @@
 pub enum ParsedResponse {
     /// More bytes are needed.
     Incomplete {
-        /// The status in the status line, if that is complete.
+        /// Whether the status line is complete and reads 200.
         status: EarlyStatus,
     },
     /// The bytes cannot become a valid response.
     Malformed {
-        /// The status in the status line, if that is complete and valid.
+        /// Whether the status line is complete, valid and reads 200.
         status: EarlyStatus,
     },
     /// The head is complete and valid.
@@ -115,7 +115,7 @@
     }
 }
 
-/// The status line as far as it has arrived.
+/// The part of the status line that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StatusLine {
     Partial,
@@ -215,7 +215,8 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Returns the reason phrase of a status code. A code that no server of this project sends gets that of 500.
+/// Returns the reason phrase of a status code. A code that no server of this project sends gets the phrase of
+/// 500.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/journal/src/directory.rs
+++ b/crates/journal/src/directory.rs
@@ -32,7 +32,7 @@
     file: File,
     number: u64,
     salt: Salt,
-    /// Number of valid bytes.
+    /// Number of valid bytes in the file.
     size_bytes: u64,
     /// A failed write may have left invalid bytes after the valid ones.
     has_torn_end: bool,
@@ -60,7 +60,10 @@
     /// Opens the directory and reads the records of a previous process. Nothing may be appended before the
     /// first [`JournalDirectory::replace`]. The files take at most `capacity_bytes` together.
     ///
-    /// A needed file that cannot be read is an error and never counts as empty.
+    /// # Errors
+    ///
+    /// If the directory, a needed file or the size of a file cannot be read: an unreadable file never counts
+    /// as empty.
     pub fn open(path: &Path, capacity_bytes: u64) -> Result<OpenedJournal, JournalError> {
         let numbers = file_numbers(path)?;
         let ReadFiles { records, damage } = read_files(path, &numbers)?;
@@ -99,7 +102,8 @@
         self.append_bytes(&bytes)
     }
 
-    /// Appends a snapshot to the current file: these records replace all before them.
+    /// Appends a snapshot to the current file atomically: these records replace all before them. After an
+    /// error, the earlier records stay valid.
     pub fn append_snapshot<'a>(
         &mut self,
         records: impl IntoIterator<Item = RecordRef<'a>>,
@@ -167,7 +171,7 @@
     }
 
     /// Tries to remove all files but the current one. Does nothing until this process has created a file:
-    /// until then, those of the previous process hold the records.
+    /// until then, the files of the previous process hold the records.
     pub fn remove_old_files(&mut self) {
         if self.file.is_none() {
             return;
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -45,17 +45,18 @@
     /// The file ends with invalid bytes: a torn write, or damage.
     #[error("{}: the last {bytes} bytes are not a valid record", path.display())]
     TornEnd {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Number of bytes.
+        /// Number of invalid bytes at the end of the file.
         bytes: usize,
     },
     /// Valid records follow the invalid bytes.
     #[error("{}: {bytes} bytes are damaged", path.display())]
     Damaged {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Number of bytes.
+        /// Number of damaged bytes: invalid bytes before a valid frame, and control frames that cannot be
+        /// decoded.
         bytes: usize,
     },
 }
--- a/crates/journal/src/file.rs
+++ b/crates/journal/src/file.rs
@@ -11,7 +11,8 @@
     /// Whether the file contains a completion mark or a snapshot, and so all records of the previous files
     /// that are still needed.
     pub complete: bool,
-    /// Number of invalid bytes that are followed by a valid frame.
+    /// Number of damaged bytes: invalid bytes that are followed by a valid frame, and frames with a correct
+    /// checksum whose batch cannot be decoded.
     pub damaged_bytes: usize,
     /// Number of invalid bytes at the end: a torn write, or damage.
     pub torn_bytes: usize,
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -36,9 +36,9 @@
 /// A record that was read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The kind, at least 1. Its meaning is the application's.
+    /// The kind, at least 1. The application defines the meaning of each kind.
     pub kind: u8,
-    /// The payload.
+    /// The bytes that the application stored.
     pub payload: Vec<u8>,
 }
 
@@ -51,7 +51,8 @@
     pub payload: &'a [u8],
 }
 
-/// The number that seeds the checksum of every frame of a file, so that other bytes are not valid in it.
+/// The number that seeds the checksum of every frame of a file, so that bytes of a payload or of another file
+/// are not valid frames in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Salt(pub u64);
 
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -81,7 +81,8 @@
     /// Length of the last [`Connection::queue`], in bytes; 0 once it is taken back.
     last_queued_bytes: usize,
     written_bytes: u64,
-    /// When the connection began to close; since then it only writes its send queue and discards input.
+    /// When the connection began to close; from then on, the connection only writes its send queue and
+    /// discards input. `None` if it is not closing.
     closing_since: Option<Instant>,
 }
 
@@ -140,7 +141,7 @@
     }
 
     /// Removes the bytes of the last [`Connection::queue`] if none of them is written. Returns their number,
-    /// or `None` if some are written or there is nothing to remove.
+    /// or `None` if some are written, or there is nothing to remove.
     pub(crate) fn take_back_last(&mut self) -> Option<usize> {
         let length = std::mem::take(&mut self.last_queued_bytes);
         let remaining = self.unsent.len().checked_sub(length).filter(|_| length > 0)?;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Writes the send queue as far as the system accepts it.
+    /// Writes bytes of the send queue until it is empty or the system accepts no more.
     pub(crate) fn write_unsent(&mut self) -> WriteOutcome {
         if self.is_connecting() {
             return WriteOutcome::Blocked;
@@ -235,7 +236,7 @@
     }
 
     /// Returns the event that reports the loss of this connection, or `None` if its owner has already closed
-    /// it.
+    /// it with `close_after_flush`.
     pub(crate) fn loss_event(&self, token: Token) -> Option<Event> {
         if self.is_closing() {
             return None;
--- a/crates/net/src/connections.rs
+++ b/crates/net/src/connections.rs
@@ -1,7 +1,7 @@
 //! All TCP connections of a [`Net`](crate::Net), from connect or accept to close.
 //!
-//! This module owns the connections, their maximum number, and the set of those with bytes to write. It never
-//! listens.
+//! This module owns the connections, their maximum number, and the set of connections with bytes to write. It
+//! never listens.
 
 mod reading;
 
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Writes the send queues of all connections. Returns the connections on which it tried to.
+    /// Writes the send queues of all connections. Returns the connections that it tried to write to.
     pub(crate) fn flush(&mut self, reactor: &mut Reactor) -> Vec<Token> {
         let unflushed = std::mem::take(&mut self.unflushed);
         for &token in &unflushed {
@@ -217,7 +217,8 @@
         }
     }
 
-    /// Schedules the repetition of a system call on a connection after [`DEFERRED_CALL_PAUSE`].
+    /// Schedules a retry of the reads and writes on a connection at the end of the pause that other deferred
+    /// connections wait for, or else after [`DEFERRED_CALL_PAUSE`].
     fn defer(&mut self, token: Token) {
         self.deferred.insert(token);
         self.deferred_until.get_or_insert_with(|| Instant::now() + DEFERRED_CALL_PAUSE);
@@ -228,7 +229,7 @@
         self.deferred_until.map(|until| until.saturating_duration_since(now))
     }
 
-    /// Repeats the deferred calls if their pause is over: writes at once, reads with the pending ones.
+    /// Repeats the deferred calls if their pause is over: writes at once, reads with the next pending reads.
     pub(crate) fn resume_deferred(&mut self, now: Instant, reactor: &mut Reactor) {
         if self.deferred_until.is_none_or(|until| until > now) {
             return;
@@ -248,7 +249,8 @@
         }
     }
 
-    /// Covers connects as well: a read on a connecting socket first reads the result of the `connect`.
+    /// Writes to a connection now, and reads from it with the next pending reads. Covers connects as well: a
+    /// read on a connecting socket first reads the result of the `connect`.
     fn retry_calls(&mut self, token: Token, reactor: &mut Reactor) {
         reactor.pending_reads.insert(token);
         self.write(token, reactor);
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -22,7 +22,7 @@
     ConnectFailed {
         /// The connection.
         token: Token,
-        /// Whether the failure is local or that of the peer.
+        /// Whether this machine or the peer caused the failure.
         failure: ConnectFailure,
     },
     /// Bytes were received on a connection.
@@ -38,6 +38,7 @@
     },
     /// A datagram was received.
     Datagram(Token, Bytes),
-    /// A watched signal was received.
+    /// A signal watched with [`Net::watch_signals`](crate::Net::watch_signals) was received; the value is its
+    /// number.
     Signal(i32),
 }
--- a/crates/net/src/net.rs
+++ b/crates/net/src/net.rs
@@ -37,6 +37,10 @@
 impl Net {
     /// Creates an event loop for at most `max_connections` connections. Beyond the limit, accepted
     /// connections are closed at once and new outgoing connections fail.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not create the event loop.
     pub fn new(max_connections: usize) -> io::Result<Net> {
         Ok(Net {
             reactor: Reactor::new()?,
@@ -53,12 +57,16 @@
         self.connections.set_reads_per_poll(limits.reads_per_poll);
     }
 
-    /// Reports these signals as events instead of their default action.
+    /// Reports these signals as [`Event::Signal`] from now on; their default action no longer takes place.
     pub fn watch_signals(&mut self, signals: &[Signal]) -> io::Result<()> {
         self.reactor.watch_signals(signals)
     }
 
     /// Listens for TCP connections; with port 0 the system chooses a free port.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not create the listener, for example because the port is in use.
     pub fn listen(&mut self, addr: SocketAddr) -> io::Result<BoundSocket> {
         self.listeners.listen(addr, &mut self.reactor)
     }
@@ -75,6 +83,10 @@
     }
 
     /// Opens a UDP socket; with port 0 the system chooses a free port.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not create the socket, for example because the port is in use.
     pub fn bind_datagrams(&mut self, addr: SocketAddr) -> io::Result<BoundSocket> {
         self.datagrams.bind(addr, &mut self.reactor)
     }
@@ -89,7 +101,8 @@
         self.datagrams.close(token, &self.reactor);
     }
 
-    /// Starts connecting. A later poll reports [`Event::Connected`] or [`Event::ConnectFailed`].
+    /// Starts a TCP connect and returns the token of the new connection. A later poll reports
+    /// [`Event::Connected`] or [`Event::ConnectFailed`].
     pub fn connect(&mut self, addr: SocketAddr) -> Token {
         self.connections.connect(addr, &mut self.reactor)
     }
@@ -106,7 +119,8 @@
         self.connections.take_back_last(token)
     }
 
-    /// Number of bytes that are queued and not yet accepted by the system.
+    /// Returns the number of bytes that are queued on a connection and not yet accepted by the system; 0 if
+    /// the connection is closed.
     pub fn unsent_bytes(&self, token: Token) -> usize {
         self.connections.unsent_bytes(token)
     }
@@ -116,17 +130,18 @@
         self.connections.has_unsent()
     }
 
-    /// Number of bytes that the system has accepted since the connection was opened.
+    /// Returns the number of bytes that the system has accepted on a connection since it was opened; 0 if the
+    /// connection is closed.
     pub fn written_bytes(&self, token: Token) -> u64 {
         self.connections.written_bytes(token)
     }
 
-    /// When the last poll began to read: input that arrived later may not be reported yet.
+    /// Returns when the last poll began to read: input that arrived later may not be reported yet.
     pub fn last_read_at(&self) -> Instant {
         self.last_read_at
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.count()
     }
@@ -162,7 +177,7 @@
         self.connections.close_after_flush(token);
     }
 
-    /// Writes queued bytes as far as the system accepts them. Returns the connections on which it tried to.
+    /// Writes the queued bytes that the system accepts. Returns the connections that it tried to write to.
     pub fn flush(&mut self) -> Vec<Token> {
         self.connections.flush(&mut self.reactor)
     }
@@ -196,7 +211,8 @@
         self.reactor.pending_reads.extend(self.datagrams.tokens());
     }
 
-    /// Returns how long the event loop may wait: zero if the last poll left work for this one.
+    /// Returns how long the event loop may wait: 0 if the last poll left work for this one, otherwise the
+    /// minimum of `timeout` and the pauses after which accepts and deferred calls are retried.
     fn dispatch_timeout(&self, timeout: Duration, now: Instant) -> Duration {
         let accept_paused = self.listeners.is_paused(now);
         if self.has_remaining_work(accept_paused) {
--- a/crates/net/src/reactor.rs
+++ b/crates/net/src/reactor.rs
@@ -41,7 +41,7 @@
     pub(crate) pending_reads: BTreeSet<Token>,
     /// Events that occurred outside of a poll; the next poll reports them.
     pub(crate) deferred_events: Vec<Event>,
-    /// Shared by all sockets; received bytes are copied from here into their event.
+    /// Shared by all sockets; received bytes are copied from here into the event that reports them.
     pub(crate) read_buffer: Vec<u8>,
 }
 
@@ -69,7 +69,7 @@
         self.last_token
     }
 
-    /// Reports these signals as events instead of their default action.
+    /// Reports these signals as [`Event::Signal`] from now on; their default action no longer takes place.
     pub(crate) fn watch_signals(&mut self, signals: &[Signal]) -> io::Result<()> {
         let source = Signals::new(signals)?;
         self.handle
@@ -122,7 +122,8 @@
     }
 }
 
-/// Returns the error of the system inside an error of the event loop, so that its meaning is not lost.
+/// Returns the error of the operating system that an error of the event loop contains, so that its errno can
+/// be classified.
 fn system_error(error: calloop::Error) -> io::Error {
     match error {
         calloop::Error::IoError(error) => error,
--- a/crates/net/src/reserved.rs
+++ b/crates/net/src/reserved.rs
@@ -4,11 +4,11 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// A bound socket, without `listen`, by which the system assigns its port to no other socket while this value
-/// exists.
+/// A bound TCP socket on which `listen` was not called. While this value exists, the system assigns the port
+/// to no other socket that asks for any free port.
 ///
-/// Connections to it are refused until [`Net::listen`](crate::Net::listen) is called with its address, and
-/// again after [`Net::stop_listening`](crate::Net::stop_listening).
+/// Connections to the port are refused until [`Net::listen`](crate::Net::listen) is called with the address,
+/// and again after [`Net::stop_listening`](crate::Net::stop_listening).
 #[derive(Debug)]
 pub struct Reserved {
     _socket: Socket,
@@ -16,7 +16,7 @@
 }
 
 impl Reserved {
-    /// Reserves a free port on this address.
+    /// Reserves a free TCP port, chosen by the system, on the local address `ip`.
     pub fn new(ip: IpAddr) -> io::Result<Reserved> {
         let any_port = SocketAddr::new(ip, 0);
         let socket = Socket::new(Domain::for_address(any_port), Type::STREAM, Some(Protocol::TCP))?;
@@ -30,7 +30,7 @@
         Ok(Reserved { _socket: socket, addr })
     }
 
-    /// The reserved address.
+    /// Returns the local IP address and the reserved port, for [`Net::listen`](crate::Net::listen).
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -8,6 +8,6 @@
 pub struct BoundSocket {
     /// The listener or datagram socket.
     pub token: Token,
-    /// Its local address, with the port that the system chose if port 0 was requested.
+    /// The socket's local address, with the port that the system chose if port 0 was requested.
     pub address: SocketAddr,
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -24,7 +24,7 @@
     /// The settings name no class of messages.
     #[error("settings.services is empty; at least one class of messages is required")]
     NoClasses,
-    /// The limits are below the minimum.
+    /// A limit is too low: fewer than 64 file descriptors, or a `disk_mb` that is not greater than 0.
     #[error("limits: `sockets` must be at least 64 and `disk_mb` greater than 0")]
     LimitsTooLow,
 }
@@ -51,7 +51,7 @@
 pub struct EndpointEntry {
     /// The endpoint's name, which is the same at every courier.
     pub name: String,
-    /// The endpoint's address.
+    /// The endpoint's address, in the form `IP:port`.
     pub address: String,
     /// The name of the zone that the endpoint is in; empty if the entry states none.
     #[serde(default)]
@@ -101,10 +101,10 @@
     /// The version of the list after the event.
     #[serde(rename = "index")]
     pub version: u64,
-    /// Whether the entries are the complete list.
+    /// Whether the entries are the complete list and not only changes to it.
     #[serde(default, rename = "snapshot")]
     pub complete: bool,
-    /// All entries of a complete list, or else those that changed.
+    /// All entries of a complete list; otherwise the entries that changed.
     #[serde(rename = "endpoints")]
     pub entries: Vec<EndpointEntry>,
 }
@@ -126,13 +126,13 @@
 /// The configuration of a courier.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The courier's name.
+    /// The courier's name, which it writes to its log at the start.
     pub name: String,
-    /// The address to listen on.
+    /// The TCP address on which the courier listens for clients.
     pub listen: SocketAddr,
     /// The address of discovery, which also takes status notifications.
     pub discovery: SocketAddr,
-    /// The seed for random numbers.
+    /// The seed of the decision library's random numbers.
     pub seed: u64,
     /// The resource limits of the process.
     pub limits: Limits,
@@ -143,7 +143,11 @@
 }
 
 impl Config {
-    /// Reads a configuration file. A file with any error is rejected completely.
+    /// Parses the content of a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// If any part of the file is invalid; see [`ConfigError`].
     pub fn read(bytes: &[u8]) -> Result<Config, ConfigError> {
         let file: ConfigFile = serde_json::from_slice(bytes)?;
         let mut settings = DeploymentSettings::read(&file.settings)?;
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -94,11 +94,11 @@
     Unwritable,
 }
 
-/// Maximum numbers of connections that the process opens.
+/// Maximum numbers of connections that the process keeps open at a time.
 struct ConnectionLimits {
-    /// Connections of clients.
+    /// Maximum number of connections of clients.
     clients: usize,
-    /// Connections to endpoints.
+    /// Maximum number of connections to endpoints.
     upstream: usize,
 }
 
@@ -133,7 +133,7 @@
 
 impl Core {
     /// Creates a courier with the state recovered from the journal. `now` is the monotonic time and `wall`
-    /// the wall-clock time of the same moment.
+    /// the wall-clock time of the same moment, both in nanoseconds.
     pub fn new(config: Config, replay: Replay, now: Time, wall: Time) -> Core {
         let journal_capacity = config.limits.disk_bytes();
         let max_connections = ConnectionLimits::new(config.limits.file_descriptors);
@@ -184,7 +184,7 @@
         Counters { notifications: self.notifier.counts(), recovery: self.recovery.counts(), ..self.counters }
     }
 
-    /// Returns the present sizes of the tables.
+    /// Returns the present numbers of entries in the core's tables.
     pub fn sizes(&self) -> Sizes {
         let pool = self.pool.size();
         Sizes {
@@ -202,7 +202,8 @@
         self.shutdown.phase() == Phase::Ended
     }
 
-    /// Returns when the next iteration is due if no input arrives earlier, in monotonic time.
+    /// Returns when the next iteration is due if no input arrives earlier, in nanoseconds of
+    /// monotonic time.
     pub fn next_wake(&self) -> Time {
         let in_initial_sync = self.in_initial_sync();
         if self.decisions.has_events() && !in_initial_sync {
@@ -222,8 +223,8 @@
     }
 
     /// Whether requests and decisions still wait for the first event of discovery: the cached endpoint list
-    /// was stored by the previous process and may be outdated. Ends when discovery has synced, or after
-    /// [`decisions::INITIAL_SYNC_TIMEOUT`].
+    /// was stored by the previous process and may be outdated. The wait ends when discovery has synced, or
+    /// after [`decisions::INITIAL_SYNC_TIMEOUT`].
     fn in_initial_sync(&self) -> bool {
         !self.discovery.has_synced() && !self.decisions.initial_sync_timed_out(self.clock.now())
     }
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -14,9 +14,9 @@
 /// A client that is waiting for a response, and whether its connection is kept open afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requester {
-    /// The client's connection.
+    /// Id of the connection on which the client waits for the response.
     pub client: ClientId,
-    /// Whether the request permits keeping the connection open.
+    /// Whether the client's request permits keeping the connection open after the response.
     pub persistence: Persistence,
 }
 
@@ -74,7 +74,7 @@
 pub struct AdmissionDecision {
     /// The message's number.
     pub message: u32,
-    /// The answer to every client that submitted the message.
+    /// The answer that every one of `requesters` gets.
     pub answer: Answer,
     /// The clients that submitted the message.
     pub requesters: Vec<Requester>,
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -29,7 +29,7 @@
 /// An attempt in flight.
 #[derive(Debug)]
 pub struct InFlightAttempt {
-    /// The endpoint that was selected for the attempt.
+    /// Number of the endpoint that the decision library selected for the attempt.
     pub endpoint: u32,
     /// When the attempt was decided, in nanoseconds of monotonic time.
     pub started_at: Time,
@@ -71,7 +71,7 @@
         self.attempts.insert(id, InFlightAttempt { endpoint, started_at: now, deadline, stage });
     }
 
-    /// Returns an attempt in flight.
+    /// Returns an attempt, or `None` if it is not in flight.
     pub fn get(&self, id: AttemptId) -> Option<&InFlightAttempt> {
         self.attempts.get(&id)
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Removes and returns an attempt that ended.
+    /// Removes and returns an attempt that ended; `None` if the attempt is not in flight.
     pub fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         self.attempts.remove(&id)
     }
@@ -114,8 +114,9 @@
         self.attempts.iter().filter(|(_, attempt)| predicate(attempt)).map(|(&id, _)| id).collect()
     }
 
-    /// Returns the earliest of all attempts' deadlines and, if an attempt is pending, of all ends of key
-    /// cooldowns; [`Time::MAX`] for none.
+    /// Returns the monotonic time at which an attempt times out or may start: the earliest deadline of an
+    /// attempt or, if an attempt is pending, the earliest end of a key cooldown if that is earlier;
+    /// [`Time::MAX`] for neither.
     pub fn next_wake(&self, now: Time) -> Time {
         let deadlines = self.attempts.values().map(|attempt| attempt.deadline);
         let next_deadline = deadlines.min().unwrap_or(Time::MAX);
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -35,9 +35,10 @@
 /// Whether received bytes can still become a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// The bytes can; they are buffered until the next iteration parses them.
+    /// The bytes can become a valid request; they are buffered until the next iteration parses them.
     Buffered,
-    /// The bytes cannot; the request is rejected at once. [`ClientConnections::request`] returns the reason.
+    /// The bytes cannot become a valid request, which is rejected at once. [`ClientConnections::request`]
+    /// returns the reason.
     Malformed,
 }
 
@@ -50,7 +51,8 @@
     InRequest(ClientId),
 }
 
-/// All connections of clients.
+/// The open connections of clients, at most `capacity`, with their buffered requests. Times are monotonic, in
+/// nanoseconds.
 #[derive(Debug)]
 pub struct ClientConnections {
     capacity: usize,
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Returns when the last byte of a connection's request arrived. The message's time remaining counts from
-    /// then.
+    /// Returns when the last byte of a connection's request arrived, from which the message's time remaining
+    /// counts; `None` if the connection is closed.
     pub fn last_byte_at(&self, id: ClientId) -> Option<Time> {
         self.connections.get(&id).map(|client| client.last_byte_at)
     }
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Returns when the next sweep is due.
+    /// Returns when the next sweep, the search for connections that have timed out, is due.
     pub fn next_sweep(&self) -> Time {
         self.next_sweep
     }
--- a/crates/platform/src/core/client_connections/connection.rs
+++ b/crates/platform/src/core/client_connections/connection.rs
@@ -1,12 +1,13 @@
-//! One connection of a client: its stage, its time limits and its eligibility for eviction.
+//! One connection of a client: its stage, its time limits and its eligibility for eviction. All times are
+//! monotonic, in nanoseconds.
 
 use crate::core::clock::MILLISECOND;
 use linnetcart::Time;
 
-/// Time limit for receiving a request, from the accept for the first request and from the first byte for
-/// others.
+/// Time limit for receiving a complete request. It counts from the accept for the first request of a
+/// connection, and from the request's first byte for each later one.
 pub const REQUEST_TIMEOUT: Time = 2000 * MILLISECOND;
-/// Time limit for an idle connection, from its last response.
+/// Time limit for an idle connection, from the last response on it.
 pub const IDLE_TIMEOUT: Time = 10_000 * MILLISECOND;
 /// Time from the accept during which a connection without a request is not closed by [`IdlePolicy::Close`].
 pub const FIRST_REQUEST_GRACE: Time = 200 * MILLISECOND;
@@ -38,13 +39,13 @@
     },
     /// Bytes of the next request have arrived.
     NextRequest {
-        /// When its first byte arrived.
+        /// When the first byte of the next request arrived.
         request_began_at: Time,
     },
 }
 
-/// Sort key for eviction, least first: connections without any response before the others, then by the time
-/// since which they are in their stage.
+/// Sort key for eviction; the connection with the least key is evicted. Connections that were never answered
+/// come before the others, and within each group the one that entered its stage first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionOrder {
     /// No request was answered yet.
--- a/crates/platform/src/core/clock.rs
+++ b/crates/platform/src/core/clock.rs
@@ -20,12 +20,12 @@
         Clock { now, wall_offset: wall.saturating_sub(now) }
     }
 
-    /// Returns the monotonic time.
+    /// Returns the monotonic time of the present iteration.
     pub fn now(self) -> Time {
         self.now
     }
 
-    /// Returns the wall-clock time.
+    /// Returns the wall-clock time of the present iteration, in nanoseconds since the Unix epoch.
     pub fn wall_now(self) -> Time {
         self.now + self.wall_offset
     }
--- a/crates/platform/src/core/connection_pool.rs
+++ b/crates/platform/src/core/connection_pool.rs
@@ -37,7 +37,8 @@
 pub enum Cancelled {
     /// The request was not queued, so the attempt was certainly not executed.
     Unsent,
-    /// The request was queued, so the attempt was possibly executed. Its connection is abandoned.
+    /// The request was queued, so the attempt was possibly executed. The connection is abandoned: it is
+    /// read until its timeout, because a response may still arrive.
     Abandoned,
 }
 
@@ -46,17 +47,17 @@
 enum CloseReason {
     /// The connect failed.
     ConnectFailed,
-    /// The endpoint closed it or the operating system reported an error.
+    /// The endpoint closed the connection, or the operating system reported an error on it.
     Disconnected,
-    /// The time limit of its state passed.
+    /// The time limit of the connection's state passed.
     Overdue,
-    /// Its attempt was cancelled before the request was queued.
+    /// The connection's attempt was cancelled before its request was queued.
     CancelledUnsent,
     /// The decision library requested that idle connections to the endpoint be closed.
     CloseIdle,
     /// The pool was full and a new connection was needed.
     Evicted,
-    /// After its idle time, it is expected to lose more calls than a new connection.
+    /// The reuse policy expects the connection, after its idle time, to lose more calls than a new one.
     Untrusted,
     /// Bytes arrived that belong to no response.
     UnexpectedBytes,
@@ -144,8 +145,8 @@
         std::mem::take(&mut self.connected)
     }
 
-    /// Records that a connection was established. It keeps its state until the next iteration queues the
-    /// request of its attempt.
+    /// Records that a connection was established. The connection keeps the state `Connecting` until the next
+    /// iteration queues the request of its attempt.
     pub fn connected(&mut self, id: ConnectionId) {
         self.connected.push(id);
     }
@@ -156,7 +157,7 @@
         self.connections.get(&id)?.attempt
     }
 
-    /// Returns the remote address of a connection.
+    /// Returns the remote address of a connection, or `None` if the connection was removed.
     pub fn address(&self, id: ConnectionId) -> Option<SocketAddr> {
         self.connections.get(&id).map(|connection| connection.address)
     }
@@ -211,7 +212,8 @@
         }
     }
 
-    /// Handles a failed connect. Returns the result of the attempt that was waiting for the connection.
+    /// Handles a failed connect. Returns the result of the attempt that was waiting for the connection, if
+    /// there is one.
     pub fn connect_failed(&mut self, id: ConnectionId, failure: ConnectFailure) -> Option<FinishedAttempt> {
         let attempt = self.close(id, CloseReason::ConnectFailed)?;
         let outcome = match failure {
@@ -231,7 +233,7 @@
     }
 
     /// Handles the disconnect of a connection on which the operating system accepted `written` bytes since
-    /// the connect. Returns the result of the attempt to which it was assigned.
+    /// the connect. Returns the result of the attempt to which the connection was assigned, if there is one.
     pub fn disconnected(&mut self, id: ConnectionId, written: u64, now: Time) -> Option<FinishedAttempt> {
         let connection = self.connections.get(&id)?;
         // By the protocol, a call counts once its last byte has arrived. A request of which the operating
@@ -268,13 +270,13 @@
         finished
     }
 
-    /// Returns the earliest deadline of a connection; [`Time::MAX`] for none.
+    /// Returns the earliest deadline of all connections, in monotonic time; [`Time::MAX`] for none.
     pub fn next_deadline(&self) -> Time {
         let deadline = |connection: &Connection| connection.deadline(self.timeouts);
         self.connections.values().map(deadline).min().unwrap_or(Time::MAX)
     }
 
-    /// Closes a connection. Returns the attempt to which it was assigned.
+    /// Closes a connection. Returns the attempt to which the connection was assigned, if there is one.
     fn close(&mut self, id: ConnectionId, reason: CloseReason) -> Option<AttemptId> {
         let connection = self.connections.remove(&id)?;
         let endpoint = connection.endpoint;
--- a/crates/platform/src/core/connection_pool/acquire.rs
+++ b/crates/platform/src/core/connection_pool/acquire.rs
@@ -18,15 +18,15 @@
     Exhausted,
 }
 
-/// An idle connection that may be reused; ordered by the time since which it is idle.
+/// An idle connection that may be reused; the greatest one became idle last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleConnection {
     idle_since: Time,
     id: ConnectionId,
 }
 
-/// Sort key for eviction, least first: abandoned connections before idle ones, then by the time since which
-/// they are in that state.
+/// Sort key for eviction; the connection with the least key is evicted. Abandoned connections come before
+/// idle ones, and within each group the one that entered its state first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
     Abandoned { since: Time },
@@ -34,7 +34,7 @@
 }
 
 impl EvictionOrder {
-    /// Returns `None` for a connection that must not be evicted.
+    /// Returns the sort key of a connection, or `None` if it must not be evicted.
     fn of(connection: &Connection) -> Option<EvictionOrder> {
         match *connection.state() {
             ConnectionState::Abandoned { since, .. } => Some(EvictionOrder::Abandoned { since }),
--- a/crates/platform/src/core/connection_pool/connection.rs
+++ b/crates/platform/src/core/connection_pool/connection.rs
@@ -9,7 +9,7 @@
 //! | `InUse` | the queued request is taken back | `Idle` |
 //! | `InUse` | the attempt is cancelled | `Abandoned` |
 //!
-//! The pool may close the connection in any state.
+//! The pool may close the connection in any state. All times are monotonic, in nanoseconds.
 
 use crate::core::attempts::AttemptId;
 use crate::core::clock::MILLISECOND;
@@ -24,16 +24,16 @@
 /// report. At the limit, the attempt counts as served and the connection is closed. Also the time limit for
 /// the rest of a response body on a connection that is already idle.
 const SUCCESS_COMPLETION_TIMEOUT: Time = 50 * MILLISECOND;
-/// Time limit for any other response, from its first byte. At the limit, the attempt counts as failed
-/// ([`AttemptOutcome::Error`]) and the connection is closed.
+/// Time limit for a response whose status line does not read 200, from its first byte. At the limit, the
+/// attempt counts as failed ([`AttemptOutcome::Error`]) and the connection is closed.
 const RESPONSE_COMPLETION_TIMEOUT: Time = 1000 * MILLISECOND;
 
 /// Time limits of the states of a connection, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Time limit for a connect.
+    /// Time limit for establishing a connection, from the start of the connect.
     pub connect: Time,
-    /// Time limit for an idle connection.
+    /// Time limit for an idle connection, from the moment at which it became idle.
     pub idle: Time,
     /// Time limit for the response to an abandoned attempt, from its cancellation.
     pub abandoned: Time,
@@ -72,15 +72,15 @@
 /// A connection to an endpoint.
 #[derive(Debug)]
 pub struct Connection {
-    /// The endpoint of the connection.
+    /// Number of the endpoint to which the connection leads.
     pub endpoint: u32,
     /// The endpoint's address when the connect began.
     pub address: SocketAddr,
     /// Private, so that only this module makes transitions.
     state: ConnectionState,
-    /// The attempt to which the connection is assigned.
+    /// The attempt to which the connection is assigned; `None` if it is assigned to none.
     pub attempt: Option<AttemptId>,
-    /// The bytes of the response that have arrived.
+    /// The bytes that have arrived of the response to the present or abandoned attempt.
     pub response: Vec<u8>,
     /// Number of request bytes queued since the connect, including those of the present request.
     pub queued_bytes: u64,
--- a/crates/platform/src/core/connection_pool/outcome.rs
+++ b/crates/platform/src/core/connection_pool/outcome.rs
@@ -15,7 +15,7 @@
 /// The result of an attempt, with the information of its response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedAttempt {
-    /// The attempt.
+    /// Id of the attempt.
     pub id: AttemptId,
     /// The outcome. `NotSent` also stands for responses with status 504, with 410, or with 503 and
     /// `x-egress-full`, by which the endpoint reports that this attempt was not executed.
@@ -24,7 +24,8 @@
     pub message_completed: bool,
     /// The load report of the response.
     pub load: LoadReport,
-    /// The endpoint of an abandoned attempt whose response arrived late; `None` for an attempt in flight.
+    /// Number of the endpoint of an abandoned attempt whose response arrived late; `None` for an attempt in
+    /// flight.
     pub abandoned_endpoint: Option<u32>,
 }
 
--- a/crates/platform/src/core/connection_pool/receive.rs
+++ b/crates/platform/src/core/connection_pool/receive.rs
@@ -9,7 +9,8 @@
 use linnetcart_http::{parse_response, EarlyStatus, ParsedResponse, Persistence, ResponseHead};
 
 impl ConnectionPool {
-    /// Handles received bytes. Returns the result of an attempt once it is known.
+    /// Handles bytes received on a connection. Returns the result of the connection's attempt once the bytes
+    /// determine it, otherwise `None`.
     pub fn receive(
         &mut self,
         id: ConnectionId,
--- a/crates/platform/src/core/counters.rs
+++ b/crates/platform/src/core/counters.rs
@@ -7,11 +7,11 @@
 pub struct Counters {
     /// Messages accepted.
     pub accepted: u64,
-    /// Messages rejected instead of accepted.
+    /// Messages rejected instead of accepted. If an acceptance is undone, each of its answers counts.
     pub rejected: u64,
     /// Requests that are not valid submissions.
     pub invalid_requests: u64,
-    /// Attempts whose request was queued.
+    /// Attempts whose request was queued and not taken back.
     pub attempts_sent: u64,
     /// Acceptances and attempts that were undone, mostly because their records could not be written.
     pub unrecorded: u64,
@@ -81,7 +81,7 @@
 pub struct RecoveryCounts {
     /// Recovered from the journal.
     pub recovered: u64,
-    /// Recovered messages that were certainly never executed.
+    /// Recovered messages without a final outcome that were certainly never executed.
     pub untried: u64,
     /// Untried messages that this process attempted.
     pub attempted: u64,
@@ -94,13 +94,13 @@
 pub struct Sizes {
     /// Messages in flight.
     pub in_flight: usize,
-    /// Unacknowledged status notifications.
+    /// Unacknowledged status notifications, including those whose completion is not recorded yet.
     pub unacknowledged: usize,
-    /// Endpoints.
+    /// Endpoints of the endpoint list, including removed ones whose numbers are retained.
     pub endpoints: usize,
-    /// Connections of clients.
+    /// Open connections of clients.
     pub clients: usize,
-    /// Connections to endpoints.
+    /// Connections to endpoints in any state: connecting, in use, idle or abandoned.
     pub upstream_connections: usize,
     /// Attempts to which a connection is assigned.
     pub attempts: usize,
--- a/crates/platform/src/core/decisions.rs
+++ b/crates/platform/src/core/decisions.rs
@@ -56,7 +56,7 @@
         self.next_decision
     }
 
-    /// Whether a decision is due: an event is queued or the wake-up has arrived.
+    /// Whether a decision is due: an event is queued or the time of the wake-up has come.
     pub fn is_due(&self, now: Time) -> bool {
         self.next_decision <= now || self.has_events()
     }
--- a/crates/platform/src/core/deduplication.rs
+++ b/crates/platform/src/core/deduplication.rs
@@ -1,6 +1,6 @@
-//! The deduplication cache: the ids of completed messages, each until its message's deadline.
+//! The deduplication cache: the ids of completed messages, each until the deadline of its message.
 //!
-//! It recognises messages that are submitted again; `submission` answers them.
+//! The cache recognises messages that are submitted again; `submission` answers them.
 
 use super::in_flight::IdMatch;
 use crate::records::{digest, CompletedId, Message};
--- a/crates/platform/src/core/delivery.rs
+++ b/crates/platform/src/core/delivery.rs
@@ -258,8 +258,9 @@
         self.remove_if_settled(id.message);
     }
 
-    /// Handles the late response to an abandoned attempt. If it was served, its message is completed and the
-    /// message's other attempts are cancelled; any other response only affects the limit of its endpoint.
+    /// Handles the late response to an abandoned attempt. If the response reports the attempt as served, the
+    /// message is completed and its other attempts are cancelled; any other response only affects the limit
+    /// of the endpoint.
     fn handle_late_response(&mut self, finished: &FinishedAttempt, endpoint: u32) {
         let message = finished.id.message;
         if finished.outcome != AttemptOutcome::Served {
@@ -288,8 +289,8 @@
         }));
     }
 
-    /// Starts and records the cooldown of an ordering key: an attempt of it ended for the courier, but may
-    /// still be executing at its endpoint.
+    /// Starts and records the cooldown of an ordering key: an attempt of a message with this key ended for
+    /// the courier, but may still be executing at its endpoint.
     pub(super) fn start_key_cooldown(&mut self, ordering_key: u64) {
         if let Some(until) = self.attempts.key_cooldowns.start(ordering_key, self.clock.now()) {
             let until = self.clock.to_wall(until);
--- a/crates/platform/src/core/discovery.rs
+++ b/crates/platform/src/core/discovery.rs
@@ -1,7 +1,7 @@
 //! The discovery client: the watch on the endpoint list, its connection, and the list itself.
 //!
-//! It owns the list's version, the reconnect backoff and the endpoints' numbers. After an entry that cannot
-//! be read, the next connect requests the complete list, so that no endpoint is missing for good.
+//! The client owns the list's version, the reconnect backoff and the endpoints' numbers. After an entry that
+//! cannot be read, the next connect requests the complete list, so that no endpoint is missing for good.
 
 mod endpoint_list;
 mod watch;
@@ -48,13 +48,13 @@
         &self.endpoints
     }
 
-    /// Whether the initial sync with discovery is complete: it has sent the events after the cached version,
-    /// or an empty line if there are none.
+    /// Whether the initial sync with discovery is complete: discovery has sent the events after the cached
+    /// version, or an empty line if there are none.
     pub fn has_synced(&self) -> bool {
         self.watch.has_synced()
     }
 
-    /// Whether this connection is the watch's.
+    /// Whether `id` is the connection that carries the watch.
     pub fn owns(&self, id: ConnectionId) -> bool {
         self.connection == Some(id)
     }
@@ -69,7 +69,7 @@
         self.connection = Some(id);
     }
 
-    /// Takes the connection, which the caller has to close.
+    /// Takes the id of the watch's connection, which the caller has to close; `None` if there is none.
     pub fn take_connection(&mut self) -> Option<ConnectionId> {
         self.connection.take()
     }
@@ -114,7 +114,7 @@
         self.connection.take()
     }
 
-    /// Returns when to poll again, at the latest.
+    /// Returns the monotonic time at which [`DiscoveryClient::poll`] must be called again at the latest.
     pub fn next_wake(&self) -> Time {
         self.watch.next_wake()
     }
--- a/crates/platform/src/core/discovery/endpoint_list.rs
+++ b/crates/platform/src/core/discovery/endpoint_list.rs
@@ -18,7 +18,7 @@
 pub struct ListedEndpoint {
     /// The endpoint's address.
     pub address: SocketAddr,
-    /// Index of the endpoint's zone.
+    /// Index of the endpoint's zone; [`UNKNOWN_INDEX`] if no index was left for it.
     pub zone: u8,
     /// The endpoint's status.
     pub status: EndpointStatus,
@@ -63,7 +63,7 @@
 pub struct ListUpdate {
     /// The event for the decision library.
     pub event: Event,
-    /// Endpoints whose idle connections must be closed: removed, moved or restarted ones.
+    /// Numbers of the endpoints whose idle connections must be closed: removed, moved or restarted ones.
     pub stale: Vec<u32>,
 }
 
@@ -77,9 +77,9 @@
 /// The endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointList {
-    /// Version of the last event.
+    /// Version of the list after the last event; 0 before any event.
     version: u64,
-    /// Numbers by name.
+    /// Numbers of the endpoints, by name.
     numbers: BTreeMap<String, u32>,
     endpoints: BTreeMap<u32, ListedEndpoint>,
     last_number: u32,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the endpoint with a number.
+    /// Returns the endpoint with this number, or `None` if no endpoint has it.
     pub fn get(&self, number: u32) -> Option<&ListedEndpoint> {
         self.endpoints.get(&number)
     }
@@ -217,7 +217,8 @@
 
     /// Marks the endpoint that has the entry's name under another destination as removed, so that the name
     /// gets a new number: limits and failures observed under the old number do not apply to the new
-    /// destination.
+    /// destination. Returns the removed endpoint for the decision library, or `None` if no endpoint was
+    /// removed.
     fn remove_from_other_destination(&mut self, entry: &EndpointEntry, now: Time) -> Option<Endpoint> {
         let number = *self.numbers.get(&entry.name)?;
         let previous = self.endpoints.get_mut(&number)?;
@@ -229,8 +230,8 @@
         Some(previous.event_entry(number, 0.0))
     }
 
-    /// Returns the number of an entry's name, and allocates one for a new name. Returns `None` for an unknown
-    /// endpoint that has already left.
+    /// Returns the number of an entry's name, and allocates one for a new name. Returns `None` for a new name
+    /// whose entry has the status [`ListedStatus::Left`].
     fn number_of(&mut self, entry: &EndpointEntry) -> Option<u32> {
         if let Some(&number) = self.numbers.get(&entry.name) {
             return Some(number);
@@ -259,8 +260,8 @@
     }
 }
 
-/// Returns the index of a kind. All kinds that the settings do not contain share the index after the last
-/// one.
+/// Returns the index of a kind in the settings. All kinds that the settings do not contain share the index
+/// after the last one.
 fn kind_index(name: &str, settings: &DeploymentSettings) -> u8 {
     let index = settings.kind_names.iter().position(|kind| kind == name);
     index.unwrap_or(settings.kind_names.len()) as u8
--- a/crates/platform/src/core/discovery/watch.rs
+++ b/crates/platform/src/core/discovery/watch.rs
@@ -103,7 +103,7 @@
         ConnectionAction::Nothing
     }
 
-    /// Returns when to poll again, at the latest.
+    /// Returns the monotonic time at which [`EndpointWatch::poll`] must be called again at the latest.
     pub fn next_wake(&self) -> Time {
         self.connection.next_wake(self.last_byte_at + WATCH_SILENCE_TIMEOUT)
     }
@@ -133,7 +133,8 @@
         *self = EndpointWatch { synced: self.synced, ..EndpointWatch::new() };
     }
 
-    /// Handles received bytes.
+    /// Handles bytes received on the watch. Returns the events that they complete, and an error if the
+    /// connection has to be closed.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) -> WatchProgress {
         self.last_byte_at = now;
         let state = self.decode(bytes);
--- a/crates/platform/src/core/discovery_traffic.rs
+++ b/crates/platform/src/core/discovery_traffic.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 impl Core {
-    /// Changes the address of discovery and reconnects if it is another one.
+    /// Changes the address of discovery, and reconnects if it differs from the present one.
     pub fn move_discovery(&mut self, address: SocketAddr) {
         if address == self.discovery.address() {
             return;
--- a/crates/platform/src/core/effects.rs
+++ b/crates/platform/src/core/effects.rs
@@ -40,11 +40,13 @@
 pub enum CoreEvent {
     /// The watch on the endpoint list failed; it is reopened after a backoff.
     WatchFailed(WatchError),
-    /// No byte arrived on the watch within its silence timeout; it is reopened.
+    /// No byte arrived on the watch within its silence timeout, or its connection was not established in
+    /// time; the watch is reopened.
     WatchSilent,
     /// Discovery's answer to a batch of status notifications was invalid; the notifications are sent again.
     NotificationsFailed(NotificationError),
-    /// Discovery did not answer a batch of status notifications in time; the notifications are sent again.
+    /// Discovery did not answer a batch of status notifications in time, or the connection for them was not
+    /// established in time; the notifications are sent again.
     NotificationsTimedOut,
     /// Discovery rejected this message's notification, which is not sent again.
     NotificationRejected {
@@ -154,7 +156,7 @@
         self.outputs.push(PendingOutput::Attempt { attempt, connection, request });
     }
 
-    /// Replaces the answers 202 for a message by rejections (503). Returns their number.
+    /// Replaces the answers 202 for a message by rejections (503). Returns the number of replaced answers.
     pub fn reject_acceptance(&mut self, rejected: u32) -> u64 {
         let mut count = 0;
         for output in &mut self.outputs {
--- a/crates/platform/src/core/in_flight.rs
+++ b/crates/platform/src/core/in_flight.rs
@@ -1,8 +1,8 @@
 //! The in-flight table: messages from their submission until they are settled, that is, completed,
 //! acknowledged by the platform (if their outcome needs a notification) and without attempts in flight.
 //!
-//! It owns each message's state, numbers its attempts and accounts for the bytes that all messages take in
-//! the journal. It reads no clock.
+//! The table owns each message's state, numbers its attempts and accounts for the bytes that all messages
+//! take in the journal. It reads no clock.
 
 use super::attempts::AttemptId;
 use crate::records::{Completion, FinalOutcome, Message, PendingMessage, SentAttempt};
@@ -31,7 +31,7 @@
 pub struct UncompletedMessage {
     /// The message's number.
     pub number: u32,
-    /// Whether its content is that of the submitted message.
+    /// Whether the content of the message found is that of the submitted one.
     pub id_match: IdMatch,
 }
 
@@ -99,14 +99,15 @@
     messages: BTreeMap<u32, InFlightMessage>,
     /// Numbers of the messages without a final outcome, by id.
     uncompleted_ids: HashMap<Vec<u8>, u32>,
-    /// Bytes that all messages take in the journal; see [`stored_size`].
+    /// Estimate of the bytes that all messages of the table take in the journal: sum of [`stored_size`].
     size_bytes: u64,
     max_size_bytes: u64,
     numbers: MessageNumbers,
 }
 
 impl InFlightTable {
-    /// Creates an empty table. Its messages take at most `journal_capacity_bytes / CAPACITY_DIVISOR`. Message
+    /// Creates an empty table. Its messages may take `journal_capacity_bytes / CAPACITY_DIVISOR` bytes of the
+    /// journal. Message
     /// numbers start at `next_number`.
     pub fn new(journal_capacity_bytes: u64, next_number: u32) -> InFlightTable {
         InFlightTable {
@@ -133,7 +134,7 @@
         self.size_bytes + stored_size(message) <= self.max_size_bytes
     }
 
-    /// Returns a message.
+    /// Returns the message with this number, or `None` if no message in flight has it.
     pub fn get(&self, number: u32) -> Option<&InFlightMessage> {
         self.messages.get(&number)
     }
@@ -159,7 +160,7 @@
         self.numbers.allocate(|number| messages.contains_key(&number))
     }
 
-    /// Adds a message. `deadline` is a monotonic time.
+    /// Adds a message. `deadline` is the message's deadline in nanoseconds of monotonic time.
     pub fn insert(&mut self, number: u32, pending: PendingMessage, deadline: Time) {
         let size_bytes = stored_size(&pending.message);
         self.size_bytes += size_bytes;
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Removes and returns a message.
+    /// Removes and returns the message with this number; `None` if there is no such message.
     pub fn remove(&mut self, number: u32) -> Option<InFlightMessage> {
         let message = self.messages.remove(&number)?;
         self.size_bytes -= message.size_bytes;
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// A client shut down its sending side. A complete request of it is still answered in the next iteration.
+    /// A client shut down its sending side. A complete request that the client sent before is still
+    /// answered in the next iteration.
     pub fn client_half_closed(&mut self, id: ClientId) {
         self.clients.half_closed(id);
     }
@@ -66,7 +67,7 @@
     }
 
     /// A connection to an endpoint or to discovery ended. `written` is the number of bytes that the kernel
-    /// had accepted for it.
+    /// had accepted on it since the connect.
     pub fn upstream_disconnected(&mut self, id: ConnectionId, written: u64) {
         if self.discovery_disconnected(id) {
             return;
--- a/crates/platform/src/core/key_cooldowns.rs
+++ b/crates/platform/src/core/key_cooldowns.rs
@@ -1,7 +1,8 @@
 //! Cooldowns of ordering keys: after an attempt that may still be executing, no new message of the same
 //! ordering key is attempted for a fixed time, so that messages of a key take effect in order.
 //!
-//! The decision library enforces cooldowns as well, but does not know those of a previous process.
+//! The decision library enforces cooldowns as well, but does not know the cooldowns that a previous
+//! process started.
 
 use linnetcart::Time;
 use std::collections::BTreeMap;
--- a/crates/platform/src/core/reconnect.rs
+++ b/crates/platform/src/core/reconnect.rs
@@ -7,7 +7,7 @@
 const MIN_BACKOFF: Time = 20 * MILLISECOND;
 /// The maximum delay before a reconnect.
 const MAX_BACKOFF: Time = 500 * MILLISECOND;
-/// A connect that is not established after this time has failed.
+/// A connection that is not established within this time counts as failed.
 const CONNECT_TIMEOUT: Time = 1000 * MILLISECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 /// What the core has to do with a connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// Nothing.
+    /// Nothing has to be done.
     Nothing,
     /// Establish the connection.
     Connect,
@@ -28,7 +28,8 @@
     Close,
 }
 
-/// The state of the connection and its backoff.
+/// The state of one connection to discovery, and the delay before the reconnect after its next loss, in
+/// nanoseconds.
 #[derive(Debug)]
 pub struct Reconnect {
     state: State,
@@ -46,7 +47,7 @@
         self.state == State::Connected
     }
 
-    /// Whether the connect has timed out.
+    /// Whether a connect is in progress and began at least [`CONNECT_TIMEOUT`] ago.
     pub fn connect_timed_out(&self, now: Time) -> bool {
         matches!(self.state, State::Connecting { since } if since + CONNECT_TIMEOUT <= now)
     }
@@ -89,8 +90,8 @@
         self.backoff = MIN_BACKOFF;
     }
 
-    /// Returns when to poll again: the next connect or the connect timeout, or `connected_wake` while the
-    /// connection is established.
+    /// Returns the monotonic time of the next poll: the next connect or the connect timeout, or
+    /// `connected_wake` while the connection is established.
     pub fn next_wake(&self, connected_wake: Time) -> Time {
         match self.state {
             State::Disconnected { retry_at } => retry_at,
--- a/crates/platform/src/core/recovery.rs
+++ b/crates/platform/src/core/recovery.rs
@@ -17,18 +17,19 @@
 /// The progress of the messages that a previous process accepted.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// Uncompleted messages that were not passed to the decision library yet.
+    /// Numbers of the uncompleted messages that were not passed to the decision library yet.
     awaiting_decision: Vec<u32>,
-    /// Messages that no endpoint has executed and that this process has neither attempted nor completed.
+    /// Numbers of the messages that no endpoint has executed and that this process has neither attempted nor
+    /// completed.
     untried: BTreeSet<u32>,
-    /// Messages whose first attempt by this process was sent in the present iteration and can still be
-    /// undone.
+    /// Numbers of the messages whose first attempt by this process was sent in the present iteration and can
+    /// still be undone.
     first_attempted: BTreeSet<u32>,
     counts: RecoveryCounts,
 }
 
 impl Recovery {
-    /// Counts a recovered message.
+    /// Counts a recovered message, and tracks the message if it has no final outcome.
     fn add(&mut self, number: u32, pending: &PendingMessage) {
         self.counts.recovered += 1;
         if pending.completion != Completion::Uncompleted {
@@ -46,7 +47,7 @@
         self.first_attempted.clear();
     }
 
-    /// Takes the uncompleted messages that were not passed to the decision library yet.
+    /// Takes the numbers of the uncompleted messages that were not passed to the decision library yet.
     pub fn take_awaiting_decision(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.awaiting_decision)
     }
@@ -79,7 +80,7 @@
         self.untried.is_empty().then_some(self.counts)
     }
 
-    /// Returns the counts.
+    /// Returns the numbers of recovered messages since the start of the process.
     pub fn counts(&self) -> RecoveryCounts {
         self.counts
     }
--- a/crates/platform/src/core/request.rs
+++ b/crates/platform/src/core/request.rs
@@ -13,18 +13,18 @@
 /// A message as submitted by a request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SubmittedMessage {
-    /// Its id, from `X-Txn`.
+    /// The message's id, from `X-Txn`.
     pub id: Vec<u8>,
-    /// Its idempotency key, from `Idempotency-Key`.
+    /// The message's idempotency key, from `Idempotency-Key`; `None` without that field.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Index of its class, which is the first segment of the path.
+    /// Index of the class whose name is the first segment of the path.
     pub class: u8,
-    /// Its destination, from `X-Route-To`.
+    /// Number of the destination, from `X-Route-To`.
     pub destination: u32,
-    /// Its ordering key, the digest of the cookie `subject`; 0 for none.
+    /// The ordering key, a 64-bit hash of the cookie `subject`; 0 if the message has none.
     pub ordering_key: u64,
-    /// Time left for its delivery when the request arrived, in nanoseconds: the lesser of `X-Remaining-Ms`
-    /// and the class's deadline.
+    /// Time left for the delivery when the last byte of the request arrived, in nanoseconds:
+    /// min(`X-Remaining-Ms`, deadline of the class).
     pub time_remaining: Time,
 }
 
--- a/crates/platform/src/core/status_notifier.rs
+++ b/crates/platform/src/core/status_notifier.rs
@@ -1,8 +1,9 @@
 //! Status notifications: reports each message that is completed without delivery to the platform, in batches
 //! of JSON lines (`POST /status` to discovery) that are sent again until they are acknowledged.
 //!
-//! It owns the queue, its connection to discovery and the ordering keys that wait for an acknowledgement. A
-//! notification is dropped only if discovery rejects it alone, and that is logged.
+//! The notifier owns the queue, its connection to discovery and the ordering keys that wait for an
+//! acknowledgement. A notification is dropped only if discovery rejects it in a batch of its own; the drop is
+//! logged.
 
 use super::clock::MILLISECOND;
 use super::connection_pool::ConnectionId;
@@ -47,9 +48,9 @@
 /// Messages whose notifications were answered and are not sent again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Acknowledged {
-    /// The messages, in the order of their notifications.
+    /// Numbers of the messages, in the order of their notifications.
     pub messages: Vec<u32>,
-    /// The result of their batch.
+    /// The result of the batch that contained the notifications.
     pub result: BatchResult,
 }
 
@@ -102,7 +103,7 @@
     batch_limit: usize,
     sent_at: Time,
     response: Vec<u8>,
-    /// The queue's messages that have an ordering key, by that key.
+    /// Numbers of the messages with an unacknowledged notification and an ordering key, by ordering key.
     unacknowledged_by_key: BTreeMap<u64, BTreeSet<u32>>,
     counts: NotificationCounts,
 }
@@ -166,7 +167,7 @@
         self.queue.len() + self.unrecorded.len()
     }
 
-    /// Returns the counts of notifications added since the start.
+    /// Returns the numbers of notifications added since the start of the process, by outcome.
     pub fn counts(&self) -> NotificationCounts {
         self.counts
     }
@@ -178,7 +179,8 @@
         messages.iter().any(|&other| other != message)
     }
 
-    /// Removes a message from the unacknowledged ones of its ordering key.
+    /// Records that the notification of a message is acknowledged, so that the message no longer blocks the
+    /// others of its ordering key.
     pub fn release(&mut self, ordering_key: u64, message: u32) {
         if let Some(messages) = self.unacknowledged_by_key.get_mut(&ordering_key) {
             messages.remove(&message);
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Whether this connection is the notifier's.
+    /// Whether `id` is the connection on which notifications are sent.
     pub fn owns(&self, id: ConnectionId) -> bool {
         self.connection == Some(id)
     }
@@ -208,7 +210,8 @@
         ConnectionAction::Nothing
     }
 
-    /// Returns when to poll again, at the latest; [`Time::MAX`] without notifications.
+    /// Returns the monotonic time at which [`StatusNotifier::poll`] must be called again at the latest;
+    /// [`Time::MAX`] without notifications.
     pub fn next_wake(&self) -> Time {
         let release_at = self.unrecorded.iter().map(|unrecorded| unrecorded.release_at);
         let next_release = release_at.min().unwrap_or(Time::MAX);
@@ -224,7 +227,7 @@
         self.connection = Some(id);
     }
 
-    /// Takes the connection, which the caller has to close.
+    /// Takes the id of the notifier's connection, which the caller has to close; `None` if there is none.
     pub fn take_connection(&mut self) -> Option<ConnectionId> {
         self.connection.take()
     }
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -30,7 +30,7 @@
 /// Why a client's connection is closed. Written to the log by variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCloseReason {
-    /// The answer to its last request was written.
+    /// The answer to the last request on the connection is queued.
     Answered,
     /// The client shut down its sending side, and its last complete request is answered.
     HalfClosed,
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Returns why a message must be rejected without a decision of the library, or `None` if it need not be.
+    /// Returns why a message must be rejected without a decision of the library, or `None` if the library has
+    /// to decide.
     fn reject_reason(&self, message: &Message, deadline: Time) -> Option<RejectReason> {
         let max_uncompleted = self.settings.settings.max_in_flight_messages as usize;
         if deadline <= self.clock.now() {
--- a/crates/platform/src/core/unrecorded.rs
+++ b/crates/platform/src/core/unrecorded.rs
@@ -26,8 +26,8 @@
 use std::collections::BTreeSet;
 
 /// Maximum time between reading the input of a decision and sending the attempts decided on it. A call sent
-/// within 100 ms of the arrival of a Retry-After does not count as a violation of it, so attempts that were
-/// decided before the arrival have to be sent well within that time.
+/// within 100 ms of the arrival of a Retry-After does not count as a violation of the Retry-After, so
+/// attempts that were decided before the arrival have to be sent well within that time.
 const MAX_INPUT_AGE: Time = 30 * MILLISECOND;
 
 impl Core {
--- a/crates/platform/src/records.rs
+++ b/crates/platform/src/records.rs
@@ -11,9 +11,10 @@
 //! | names | all other records of a file, which refer to classes and zones by index |
 //! | completed id | nothing; it is part of the snapshot at the start of a new file |
 //! | key cooldown | the next message of the key is attempted |
-//! | clock reference | all records with times, whose wall-clock times it relates to the monotonic clock |
+//! | clock reference | all records with times; it relates their wall-clock times to the monotonic clock |
 //!
-//! An attempt with a record of its sending and none that it was not executed counts as possibly executed.
+//! An attempt with the record "attempt sent" and without the record "not executed" counts as possibly
+//! executed.
 //!
 //! This module owns the bytes of the records ([`Record::encode`], [`Record::decode`]) and their meaning
 //! ([`Replay`]). It accesses no file: framing, checksums and files belong to `linnetcart-journal`.
@@ -67,9 +68,9 @@
     },
     /// Names of the classes and zones to which the following records refer by index.
     Names {
-        /// Names of the classes.
+        /// Names of the classes; the class index of a record is a position in this list.
         classes: Vec<String>,
-        /// Names of the zones.
+        /// Names of the zones; the zone index of a record is a position in this list.
         zones: Vec<String>,
     },
     /// How the wall-clock times of the following records relate to the monotonic clock.
@@ -88,9 +89,9 @@
 /// The digests by which a completed message is recognised when it is submitted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedId {
-    /// Digest of its id.
+    /// Digest of the message's id.
     pub id_digest: u64,
-    /// Digest of its destination, ordering key, class and body.
+    /// Digest of the message's destination, ordering key, class and body.
     pub content_digest: u64,
     /// When the entry may be deleted: the message's deadline; wall-clock time in nanoseconds.
     pub expires_at: Time,
@@ -99,30 +100,30 @@
 /// A message as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its id, chosen by the client.
+    /// The message's id, chosen by the client.
     pub id: Vec<u8>,
-    /// Its idempotency key.
+    /// The idempotency key chosen by the client; `None` if the client sent none.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Index of its class.
+    /// Index of the message's class in the present settings or, before the replay, in the names record.
     pub class: u8,
-    /// Its destination.
+    /// Number of the destination.
     pub destination: u32,
-    /// Its ordering key; 0 for none.
+    /// The ordering key; 0 if the message has none.
     pub ordering_key: u64,
-    /// Its deadline; wall-clock time in nanoseconds.
+    /// The message's deadline; wall-clock time in nanoseconds.
     pub wall_deadline: Time,
-    /// Its body.
+    /// The body of the client's request, which is delivered unchanged.
     pub body: Vec<u8>,
 }
 
 /// An attempt that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
-    /// Its number, counted from 0.
+    /// The attempt's number, counted from 0 for each message.
     pub number: u16,
-    /// Index of its endpoint's zone.
+    /// Index of the zone of the attempt's endpoint.
     pub zone: u8,
-    /// When it was sent; wall-clock time in nanoseconds.
+    /// When the attempt was sent; wall-clock time in nanoseconds.
     pub sent_at: Time,
 }
 
@@ -135,7 +136,7 @@
     Failed,
     /// Returned undelivered; the platform is notified, and the sender may submit the message again.
     Returned {
-        /// Advised delay before it is submitted again, in milliseconds; 0 for no advice.
+        /// Advised delay before the message is submitted again, in milliseconds; 0 for no advice.
         retry_after_ms: u32,
     },
 }
--- a/crates/platform/src/records/codec.rs
+++ b/crates/platform/src/records/codec.rs
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Decodes a stored record. Returns `None` for an unknown kind or a payload that does not fit its kind.
+    /// Decodes a stored record. Returns `None` for an unknown kind or a payload that is not valid for
+    /// the kind.
     pub fn decode(raw: &RawRecord) -> Option<Record> {
         let mut fields = FieldReader { remaining: &raw.payload };
         let record = match raw.kind {
--- a/crates/platform/src/records/replay.rs
+++ b/crates/platform/src/records/replay.rs
@@ -7,7 +7,7 @@
 use linnetcart_journal::Record as RawRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a message has its final outcome, and whether the platform still has to acknowledge that.
+/// Whether a message has its final outcome, and whether the platform still has to acknowledge that outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// The message has no final outcome.
@@ -95,9 +95,9 @@
         records
     }
 
-    /// Raises the number of attempts to include this one, and removes an earlier record of its sending. The
-    /// attempt may be counted already: a snapshot counts attempts that still wait for a connection, and the
-    /// records of these attempts follow it.
+    /// Sets `attempts` to max(`attempts`, `attempt` + 1) and removes the attempt from `possibly_executed`.
+    /// The attempt may be counted already: a snapshot counts attempts that still wait for a connection, and
+    /// the records of these attempts follow it.
     fn count_attempt(&mut self, attempt: u16) {
         self.attempts = self.attempts.max(attempt.saturating_add(1));
         self.possibly_executed.retain(|sent| sent.number != attempt);
@@ -115,10 +115,11 @@
     pub unusable_records: usize,
     /// Ids of completed messages that the journal contains.
     pub completed: Vec<CompletedId>,
-    /// The shift that was added to recorded times, in nanoseconds: by how much the wall clock was stepped
-    /// between the processes. That of the last clock reference if the journal has several.
+    /// Shift in nanoseconds that was added to recorded times: the step of the wall clock between the
+    /// recording process and this one. If the journal has several clock references, the shift of the last
+    /// one.
     pub clock_shift: i64,
-    /// The ends of the ordering keys' cooldowns; wall-clock times in nanoseconds.
+    /// End of the cooldown of each ordering key; wall-clock time in nanoseconds.
     pub key_cooldowns: BTreeMap<u64, Time>,
 }
 
@@ -151,7 +152,8 @@
     }
 }
 
-/// Maps indexes of classes and zones in the journal (positions) to those in the present settings (values).
+/// Maps each index of a class or zone in the journal (position in the list) to the index in the present
+/// settings (value).
 struct IndexMap {
     classes: Vec<u8>,
     zones: Vec<u8>,
@@ -248,7 +250,7 @@
     }
 
     /// Removes a message whose outcome needs no further notification. Its id is kept for deduplication,
-    /// unless the message was returned: it may be submitted again as a new message.
+    /// unless the message was returned: a returned message may be submitted again as a new one.
     fn remove_concluded(&mut self, message: u32) {
         if self.pending_mut(message).is_none() {
             return;
@@ -272,7 +274,7 @@
         pending
     }
 
-    /// Keeps the numbers of new messages above this one.
+    /// Keeps the numbers of new messages above `number`.
     fn reserve_number(&mut self, number: u32) {
         self.replay.next_message = self.replay.next_message.max(number.saturating_add(1));
     }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -39,7 +39,7 @@
 enum ReloadCause {
     /// A signal requested it.
     Signal,
-    /// The previous read failed. The failure has been logged, so that further ones are not.
+    /// The previous read failed. That failure has been logged; a failure of this retry is not logged.
     Retry,
 }
 
@@ -52,7 +52,7 @@
     /// The open connections of clients.
     clients: BTreeSet<Token>,
     upstream: UpstreamTokens,
-    /// The instant of [`CLOCK_START`].
+    /// The instant at which the courier's clock reads [`CLOCK_START`].
     started_at: Instant,
     environment: Environment,
     /// When the configuration is read again after a failure, on the courier's clock.
--- a/crates/platform/src/shell/clocks.rs
+++ b/crates/platform/src/shell/clocks.rs
@@ -10,7 +10,8 @@
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 /// Maximum time between two readings that count as simultaneous.
 const MAX_READING_TIME: Duration = Duration::from_micros(200);
-/// Maximum number of pairs of readings; then the pair whose readings are closest together is used.
+/// Maximum number of pairs of readings; after that many, the pair whose readings are closest together is
+/// used.
 const MAX_READINGS: usize = 50;
 
 /// Readings of the clocks at the start of the process.
@@ -21,16 +22,16 @@
     /// The wall clock (`CLOCK_REALTIME`), in nanoseconds since the Unix epoch. A recorded time is
     /// `wall` + (time since `started_at`), so that later steps of the wall clock have no effect.
     pub wall: Time,
-    /// The difference of the recorded times to `CLOCK_MONOTONIC`, which all processes of one boot share.
+    /// Recorded times minus `CLOCK_MONOTONIC`, the clock that all processes of one boot share.
     pub reference: ClockReference,
 }
 
-/// A pair of readings of the monotonic clock: as an [`Instant`], and as its number.
+/// A pair of readings of the monotonic clock: as an [`Instant`], and as a number of nanoseconds.
 struct MonotonicReading {
     instant: Instant,
     /// `CLOCK_MONOTONIC`, in nanoseconds.
     monotonic: i64,
-    /// Time from the first to the second reading.
+    /// Time from the first reading to the end of the second.
     duration: Duration,
 }
 
--- a/crates/platform/src/shell/environment.rs
+++ b/crates/platform/src/shell/environment.rs
@@ -6,17 +6,21 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The files that the environment names.
+/// Paths that the environment variables name.
 #[derive(Clone, Debug)]
 pub struct Environment {
-    /// The configuration file.
+    /// Path of the configuration file (`RELAY_CONFIG`).
     pub config: PathBuf,
-    /// The directory for files that survive the process.
+    /// Path of the directory for files that survive the process (`RELAY_STATE`).
     pub state: PathBuf,
 }
 
 impl Environment {
     /// Reads the environment variables.
+    ///
+    /// # Errors
+    ///
+    /// If one of the variables is not set or is empty.
     pub fn read() -> anyhow::Result<Environment> {
         Ok(Environment { config: read_path("RELAY_CONFIG")?, state: read_path("RELAY_STATE")? })
     }
@@ -35,29 +39,33 @@
     /// The file cannot be read.
     #[error("{} cannot be read (path from RELAY_CONFIG): {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The content of the file is wrong.
+    /// The content of the file is not a valid configuration.
     #[error("{} is not a valid configuration: {error:#}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Why the content is not a valid configuration.
         error: anyhow::Error,
     },
 }
 
 impl ConfigError {
-    /// Whether a retry may succeed.
+    /// Whether a retry may succeed: only if the file could not be read because of a transient error.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
     }
 }
 
 /// Reads the configuration file.
+///
+/// # Errors
+///
+/// If the file cannot be read, or its content is not a valid configuration.
 pub fn read_config(path: &Path) -> Result<Config, ConfigError> {
     let path = path.to_owned();
     let bytes = match std::fs::read(&path) {
--- a/crates/platform/src/shell/journal.rs
+++ b/crates/platform/src/shell/journal.rs
@@ -12,7 +12,7 @@
 /// A file's salt is the wall clock in nanoseconds, rotated left by this number of bits to spread its changing
 /// bits over the salt.
 const SALT_ROTATION_BITS: u32 = 17;
-/// Interval of the retries while the journal cannot be written, in nanoseconds. Each of them writes a whole
+/// Interval of the retries while the journal cannot be written, in nanoseconds. Each retry writes a whole
 /// snapshot.
 const RETRY_INTERVAL: Time = 50 * MILLISECOND;
 /// Interval of the tries to replace a file that has grown beyond its limit, or to remove old files; in
@@ -24,7 +24,7 @@
 pub enum WriteOutcome {
     /// All records are written.
     Written,
-    /// The records are not written. Neither are those of later iterations, until a write returns
+    /// The records are not written, and neither are the records of later iterations until a write returns
     /// [`WriteOutcome::Written`].
     Failed,
 }
@@ -45,10 +45,10 @@
     directory: JournalDirectory,
     clock: ClockReference,
     state: WriterState,
-    /// Size of the current file when it was created.
+    /// Size of the current file when it was created, in bytes.
     base_bytes: u64,
     max_growth_bytes: u64,
-    /// Earliest time of the next replacement or removal of files.
+    /// Earliest time of the next replacement or removal of files, on the courier's clock.
     maintenance_at: Time,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the size of the file in bytes.
+    /// Returns the size of the current journal file in bytes.
     pub fn size(&self) -> u64 {
         self.directory.size()
     }
--- a/crates/platform/src/shell/log.rs
+++ b/crates/platform/src/shell/log.rs
@@ -16,7 +16,7 @@
     /// The second, on the courier's clock, that `events_in_second` counts.
     second: Time,
     events_in_second: u32,
-    /// When the statistics are logged next.
+    /// When the statistics are logged next, on the courier's clock.
     next_statistics: Time,
 }
 
--- a/crates/platform/src/shell/upstream_tokens.rs
+++ b/crates/platform/src/shell/upstream_tokens.rs
@@ -23,7 +23,7 @@
         self.ids.get(&token).copied()
     }
 
-    /// Returns the token of a connection that is open.
+    /// Returns the token of a connection, or `None` if the connection is not open.
     pub fn token(&self, id: ConnectionId) -> Option<Token> {
         self.tokens.get(&id).copied()
     }
@@ -35,7 +35,7 @@
         Some(token)
     }
 
-    /// Removes a connection by its token; does nothing if it is not an upstream connection.
+    /// Removes a connection by its token; does nothing if the token is not that of an upstream connection.
     pub fn remove_token(&mut self, token: Token) {
         if let Some(id) = self.ids.remove(&token) {
             self.tokens.remove(&id);
