--- a/crates/platform/src/core/in_flight.rs
+++ b/crates/platform/src/core/in_flight.rs
@@ -107,8 +107,7 @@
 
 impl InFlightTable {
     /// Creates an empty table. Its messages may take `journal_capacity_bytes / CAPACITY_DIVISOR` bytes of the
-    /// journal. Message
-    /// numbers start at `next_number`.
+    /// journal. Message numbers start at `next_number`.
     pub fn new(journal_capacity_bytes: u64, next_number: u32) -> InFlightTable {
         InFlightTable {
             messages: BTreeMap::new(),
