--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -77,11 +77,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedStatus {
-    /// In service.
+    /// In service: attempts may be sent to the endpoint.
     Active,
-    /// Draining.
+    /// Draining: no new attempt is sent to the endpoint.
     Leaving,
-    /// Removed.
+    /// Removed: the endpoint is no longer part of the list.
     Left,
 }
 
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -202,8 +202,7 @@
         self.shutdown.phase() == Phase::Ended
     }
 
-    /// Returns when the next iteration is due if no input arrives earlier, in nanoseconds of
-    /// monotonic time.
+    /// Returns when the next iteration is due if no input arrives earlier, in nanoseconds of monotonic time.
     pub fn next_wake(&self) -> Time {
         let in_initial_sync = self.in_initial_sync();
         if self.decisions.has_events() && !in_initial_sync {
--- a/crates/platform/src/core/counters.rs
+++ b/crates/platform/src/core/counters.rs
@@ -28,19 +28,19 @@
 /// Numbers of attempts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Delivered.
+    /// Answered with a status line that reads 200.
     pub served: u64,
     /// Answered with an error status or a malformed response.
     pub error: u64,
     /// Rejected by the endpoint (429 or 503), certainly not executed.
     pub rejected: u64,
-    /// Not answered in time.
+    /// Not answered by the deadline of the attempt, after the request was queued.
     pub timed_out: u64,
     /// The connection was not established, or was lost before the last byte of the request.
     pub no_connection: u64,
     /// The connection was lost after the last byte of the request.
     pub reset: u64,
-    /// Cancelled by the courier.
+    /// Cancelled by the courier after the request was queued.
     pub cancelled: u64,
     /// Certainly not executed: not sent, or answered by 504, by 410 or by 503 with `x-egress-full`.
     pub not_sent: u64,
--- a/crates/platform/src/core/in_flight.rs
+++ b/crates/platform/src/core/in_flight.rs
@@ -31,7 +31,7 @@
 pub struct UncompletedMessage {
     /// The message's number.
     pub number: u32,
-    /// Whether the content of the message found is that of the submitted one.
+    /// Whether the message that was found and the submitted one have the same content.
     pub id_match: IdMatch,
 }
 
--- a/crates/platform/src/shell/journal.rs
+++ b/crates/platform/src/shell/journal.rs
@@ -36,7 +36,8 @@
     NotCreated,
     /// Records can be written.
     Writable,
-    /// Records cannot be written.
+    /// Records cannot be written since `since`; the next retry is due at `retry_at`. Both are times of the
+    /// courier's clock.
     Failing { since: Time, retry_at: Time },
 }
 
