--- a/crates/edge/src/cli.rs
+++ b/crates/edge/src/cli.rs
@@ -72,7 +72,7 @@
     Json,
 }
 
-/// Why a text is not a host and a port.
+/// Why a text is not a valid `HOST:PORT`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum HostPortError {
     #[error("HOST:PORT is expected")]
@@ -88,7 +88,8 @@
     Ok(HostPort { host: host.trim_matches(['[', ']']).to_owned(), port })
 }
 
-/// Starts logging to standard error. Without `form`, logs are plain on a terminal and JSON elsewhere.
+/// Starts logging to standard error. Without `form`, logs are plain on a terminal and JSON elsewhere. Does
+/// nothing if the process has a subscriber already.
 pub fn start_logs(form: Option<LogForm>, level: tracing::Level) {
     let is_terminal = std::io::stderr().is_terminal();
     let form = form.unwrap_or(if is_terminal { LogForm::Plain } else { LogForm::Json });
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Handles a request. A change is passed to `save` first; if that fails, nothing changes.
+    /// Handles a request of the control interface. The snapshot with a change is passed to `save` before the
+    /// change takes effect; if `save` fails, nothing changes.
     pub fn handle(&mut self, request: &Request, save: SaveSnapshot<'_>) -> Reply {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/status") => self.get_status(),
--- a/crates/edge/src/control/http.rs
+++ b/crates/edge/src/control/http.rs
@@ -22,7 +22,7 @@
     pub method: String,
     /// Path without the query string.
     pub path: String,
-    /// Body.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
     /// Whether the connection is closed after the reply, as the client requested.
     pub connection: ConnectionHeader,
@@ -58,7 +58,8 @@
         Reply { status, body: body + "\n" }
     }
 
-    /// Creates a reply that names the field or part of the request at fault.
+    /// Creates a reply that rejects a request: `field` names the header, document field or other part of the
+    /// request that is at fault, and `reason` says why.
     pub(super) fn error(status: u16, field: &str, reason: impl Into<String>) -> Reply {
         Reply::json(status, json!({"error": {"field": field, "reason": reason.into()}}))
     }
@@ -104,7 +105,7 @@
 }
 
 impl HttpConnection {
-    /// Adds received bytes.
+    /// Adds received bytes to the receive buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
@@ -196,13 +197,13 @@
     }
 }
 
-/// Returns the value of the first header field of this name, ignoring case.
+/// Returns the value of the first header field of this name, ignoring case, or `None` if there is none.
 fn field<'a>(request: &httparse::Request<'_, 'a>, name: &str) -> Option<&'a [u8]> {
     let header = request.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
     header.map(|header| header.value)
 }
 
-/// Returns the value of a header field, trimmed and in lower case.
+/// Returns the value of a header field, trimmed and in lower case, or `None` if there is no such field.
 fn lowercase_field(request: &httparse::Request<'_, '_>, name: &str) -> Option<String> {
     field(request, name).map(|value| String::from_utf8_lossy(value).trim().to_ascii_lowercase())
 }
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct Core {
     settings: Settings,
-    /// The idempotency of each class, by class number.
+    /// Whether and how often a message of each class may be executed; the index is the class number.
     idempotency: Vec<Idempotency>,
     /// This courier as the only broker that Metadata responses list.
     broker: Broker,
@@ -115,14 +115,15 @@
         }
     }
 
-    /// Removes and returns the instructions for the shell.
+    /// Removes and returns the instructions that the shell has not taken yet, in the order in which it must
+    /// carry them out.
     pub fn outputs(&mut self) -> Vec<Output> {
         let mut outputs = std::mem::take(&mut self.outputs);
         outputs.extend(self.delivery.take_outputs());
         outputs
     }
 
-    /// Removes and returns the delivery events.
+    /// Removes and returns the delivery events since the last call. The shell counts and logs them.
     pub fn delivery_events(&mut self) -> Vec<DeliveryEvent> {
         std::mem::take(&mut self.delivery_events)
     }
@@ -185,7 +186,10 @@
 
     // ---- The endpoint list
 
-    /// Applies an update of the endpoint list. Nothing changes if it is invalid.
+    /// Applies an update of the endpoint list.
+    ///
+    /// # Errors
+    /// Fails if the update is not valid for the settings and the list in force. Nothing changes then.
     pub fn update_endpoints(&mut self, update: &EndpointListUpdate) -> Result<(), InvalidDocument> {
         let updated = self.list().with_update(update, &self.settings)?;
         let entries = updated.library_entries;
@@ -194,7 +198,10 @@
         Ok(())
     }
 
-    /// Puts the endpoint list of a snapshot in force. Nothing changes if it does not fit the settings.
+    /// Puts the endpoint list of a snapshot in force.
+    ///
+    /// # Errors
+    /// Fails if the list does not fit the settings. Nothing changes then.
     pub fn restore(&mut self, list: EndpointList) -> Result<(), InvalidDocument> {
         let entries = list.library_entries(&self.settings)?;
         self.decisions.push(Event::EndpointList { complete: true, entries });
@@ -219,8 +226,8 @@
 
     // ---- One event-loop iteration
 
-    /// Returns when the next iteration must run at the latest, by the monotonic clock, or `Time::MAX` when
-    /// nothing is pending.
+    /// Returns when the next iteration must run at the latest, by the monotonic clock, or `Time::MAX` if no
+    /// decision cycle, timeout or deadline is pending.
     pub fn next_wakeup(&self) -> Time {
         // Requests are completed a tick before their deadline, see `process`.
         let request_deadline =
@@ -233,9 +240,10 @@
             .min(drain_deadline.unwrap_or(Time::MAX))
     }
 
-    /// Runs one iteration: ends attempts and connections that have timed out, runs a decision cycle if one is
-    /// due, completes the messages whose request has `deadline <= now + tick`, and all messages once the
-    /// drain deadline has passed.
+    /// Runs one iteration: ends attempts and connections that have timed out, and runs a decision cycle if
+    /// one is due. Then it completes messages without a decision of the library: those of requests with
+    /// `deadline <= now + tick` and of the requests before them on the same connection, and all messages once
+    /// the drain deadline has passed.
     pub fn process(&mut self, now: Time) {
         self.clock(now);
         self.delivery.expire();
@@ -253,8 +261,8 @@
         }
     }
 
-    /// Runs one decision cycle and carries out its actions. The calls that it opens are written at its end,
-    /// so that messages to one endpoint share calls.
+    /// Runs one decision cycle and carries out the actions that it returns. The calls that the actions open
+    /// are written after the last action, so that messages to one endpoint share calls.
     fn decide(&mut self) {
         let now = self.clock.now();
         self.retry_after.expire(now);
--- a/crates/edge/src/core/admission.rs
+++ b/crates/edge/src/core/admission.rs
@@ -1,8 +1,9 @@
 //! Admission control: validates the partitions of a Produce request, and sheds load when the limits on
 //! messages or bytes in flight are reached or the courier drains.
 //!
-//! A partition is accepted completely or not at all. Admission owns the sequence of generated message ids and
-//! its counters. It stores no message and has no part in delivery.
+//! A partition is accepted completely or not at all. Admission owns the sequence of generated message ids,
+//! and the counters of messages that expired before they arrived and of client clocks that are ahead. It
+//! stores no message and has no part in delivery.
 
 mod error;
 mod headers;
@@ -54,9 +55,9 @@
     /// A hash of the record's key, 0 if it has none. In an ordered class, messages with the same ordering key
     /// are delivered in order.
     pub(crate) ordering_key: u64,
-    /// When it must have its final answer, by the monotonic clock.
+    /// When the message must have its final answer, by the monotonic clock.
     pub(crate) deadline: Time,
-    /// The index of its tenant in the settings, 0 if there are no tenants or the record names none.
+    /// The index of the message's tenant in the settings; 0 if there are no tenants or the record names none.
     pub(crate) tenant: u32,
 }
 
@@ -70,31 +71,33 @@
 /// The admission decision on a partition, which applies to all its records.
 #[derive(Debug)]
 pub(crate) enum AdmissionDecision {
-    /// It can never be accepted.
+    /// The partition can never be accepted. The result has the reason.
     Invalid(PartitionResult),
-    /// It is shed because a limit is reached or the courier drains.
+    /// The partition is shed because a limit is reached or the courier drains.
     Shed { resolved: ResolvedPartition, record_count: usize, reason: RejectionReason },
-    /// All its records are accepted.
+    /// All records of the partition are accepted.
     Admitted { resolved: ResolvedPartition, records: Vec<AdmittedRecord> },
 }
 
-/// A partition of a Produce request with the decision on it.
+/// A partition of a Produce request with the admission decision on it.
 #[derive(Debug)]
 pub(crate) struct CheckedPartition {
     pub(crate) topic: String,
     pub(crate) partition: i32,
-    /// The earliest deadline of its records, or `None` if they could not be read. It is set for shed records
-    /// too: their response waits for those of earlier requests on the connection, but not beyond this time.
+    /// The earliest deadline of the partition's records, by the monotonic clock; `None` unless all their
+    /// headers were read. Shed records have a deadline too: the response to them waits for the responses to
+    /// earlier requests on the connection, but not beyond this time.
     pub(crate) deadline: Option<Time>,
     pub(crate) decision: AdmissionDecision,
 }
 
-/// Decides on the partitions of Produce requests, and counts what it notices about their records.
+/// Decides on the partitions of Produce requests. Counts the records that expired before they arrived, and
+/// those from clients whose clock is ahead.
 #[derive(Debug)]
 pub(crate) struct Admission {
     /// The prefix of generated message ids, unique to this process.
     name_prefix: String,
-    /// How many message ids have been generated; the id is the prefix and this number.
+    /// How many message ids have been generated. A generated id is `name_prefix` followed by this count.
     generated_names: u64,
     expired_on_arrival: u64,
     clocks_ahead: u64,
@@ -116,7 +119,7 @@
         self.clocks_ahead
     }
 
-    /// Decides on one partition of a Produce request.
+    /// Decides whether one partition of a Produce request is accepted, shed or invalid.
     pub(crate) fn check(
         &mut self,
         options: ProduceOptions,
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Counts the records that expired before they arrived, and those from clients whose clock is ahead.
+    /// Counts the records whose deadline is at or before `now`, and those from clients whose clock is ahead.
     fn update_deadline_counters(&mut self, headers: &[RecordHeaders], now: Time) {
         for header in headers {
             self.expired_on_arrival += u64::from(header.deadline.deadline <= now);
@@ -201,7 +204,7 @@
     }
 }
 
-/// Looks up the class and destination of a partition. The error is why it can never be accepted.
+/// Returns the class and destination of a partition, or why the partition can never be accepted.
 fn resolve_partition(
     options: ProduceOptions,
     topic: &str,
--- a/crates/edge/src/core/admission/error.rs
+++ b/crates/edge/src/core/admission/error.rs
@@ -5,7 +5,8 @@
 use linnetcart_kafka::codes;
 use linnetcart_kafka::server::{PartitionResult, RecordError};
 
-/// Why a partition can never be accepted. The texts are the error messages of its result in the response.
+/// Why a partition can never be accepted. The text is the error message of the partition in the Produce
+/// response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PartitionError {
     #[error("acks must be all or 1")]
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Returns the result for the client.
+    /// Returns the partition's result for the Produce response, with an error message for each invalid
+    /// record.
     pub(super) fn result(&self, topic: &str, partition: i32) -> PartitionResult {
         let mut result = rejected_partition(topic, partition, self.code(), self.to_string());
         if let PartitionError::InvalidRecords { records } = self {
--- a/crates/edge/src/core/admission/headers.rs
+++ b/crates/edge/src/core/admission/headers.rs
@@ -14,7 +14,8 @@
 /// The header with the name of a message's tenant.
 const TENANT: &str = "tenant";
 
-/// Why the headers of a record are invalid. The texts are part of the response.
+/// Why the headers of a record are invalid. The text is the error message of the record in the Produce
+/// response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum HeaderError {
     #[error("header {name}: `{text}` is no whole number of milliseconds")]
@@ -25,18 +26,18 @@
     UnknownTenant { name: String },
 }
 
-/// What a record's headers and timestamp state.
+/// The deadline and the tenant that follow from a record's headers and timestamp.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecordHeaders {
     pub(super) deadline: MessageDeadline,
-    /// The index of the tenant in the settings.
+    /// The index of the tenant in the settings; 0 if there are no tenants or the record names none.
     pub(super) tenant: u32,
 }
 
 /// A record with invalid headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct InvalidRecord {
-    /// Its index in the batch.
+    /// The index of the record in its batch.
     pub(super) index: i32,
     pub(super) error: HeaderError,
 }
@@ -92,7 +93,7 @@
 }
 
 /// Reads a header in milliseconds and returns it in nanoseconds, or `None` if the record does not have it.
-/// The error is the text of the header.
+/// The error is the text of a header that is not a whole number.
 fn read_millis(record: &Record, name: &str) -> Result<Option<Time>, String> {
     let Some(text) = header_text(record, name) else { return Ok(None) };
     match text.parse::<u64>() {
--- a/crates/edge/src/core/attempts.rs
+++ b/crates/edge/src/core/attempts.rs
@@ -32,7 +32,7 @@
         self.delivery.disconnected(id, accepted_bytes);
     }
 
-    /// Handles bytes from an endpoint.
+    /// Handles bytes received from an endpoint. Closes the connection if they violate the protocol.
     pub fn upstream_received(&mut self, id: UpstreamId, bytes: &[u8]) {
         let now = self.clock.now();
         let (in_flight, endpoints, retry_after) = (&self.in_flight, &self.endpoints, &self.retry_after);
@@ -47,9 +47,9 @@
 
     // ---- Attempts
 
-    /// Starts an attempt that the library decided on. It times out at `until`, or at the message's deadline
-    /// if `until` is 0 or later. The attempt is not sent if its message is completed or has used
-    /// up its attempts, or if the endpoint has left the list.
+    /// Starts an attempt that the library decided on. It times out at `min(until, message's deadline)`, or at
+    /// the message's deadline if `until` is 0. The attempt is not sent if its message is completed or has
+    /// used up its attempts, or if the endpoint has left the list.
     pub(super) fn start_attempt(&mut self, message: u32, endpoint: u32, until: Time) {
         let Some(begun) = self.in_flight.begin_attempt(message) else { return };
         let Some(in_flight) = self.in_flight.get(message) else { return };
@@ -88,7 +88,7 @@
     }
 
     /// Passes the outcomes of attempts on from delivery to the in-flight table, the Retry-After table and the
-    /// library. Delivery may finish further attempts meanwhile, so this repeats until there are none.
+    /// library. Delivery may finish further attempts meanwhile, so this repeats until no outcome is left.
     pub(super) fn collect_attempt_outcomes(&mut self) {
         for violation in self.delivery.take_violations() {
             let peer = format!("endpoint {}", violation.endpoint);
@@ -175,8 +175,8 @@
     }
 
     /// Completes a message without a decision of the library, because its request or a later one on the same
-    /// connection is due, or because the drain deadline has passed. It is rejected if it is harmless to
-    /// submit it again, and failed otherwise. To the library it is reported as cancelled by the client.
+    /// connection is due, or because the drain deadline has passed. The message is rejected if it is harmless
+    /// to submit it again, and failed otherwise. The library is told that the client cancelled it.
     pub(super) fn force_complete(&mut self, message: u32) {
         let Some(in_flight) = self.in_flight.get_open(message) else { return };
         let repeat_is_harmless = matches!(
@@ -192,7 +192,8 @@
         self.complete(message, answer);
     }
 
-    /// Gives a message its final answer: counts and reports it, and sends the responses that it completes.
+    /// Gives a message its final answer: counts it, pushes the delivery event, and sends the responses that
+    /// are complete now.
     fn complete(&mut self, message: u32, answer: FinalAnswer) {
         let Some(in_flight) = self.in_flight.get_open(message) else { return };
         let Message { position, class, destination, accepted_at, .. } = in_flight.message;
--- a/crates/edge/src/core/clients.rs
+++ b/crates/edge/src/core/clients.rs
@@ -40,7 +40,7 @@
 pub(crate) enum ReadState {
     /// The limit on requests without a response, or on unsent bytes of responses, is reached.
     Paused,
-    /// Neither limit is reached.
+    /// The connection is read: neither limit is reached.
     Reading,
 }
 
@@ -58,8 +58,8 @@
     connections: BTreeMap<ClientId, ClientConnection>,
     /// The connections with a deadline, by that deadline.
     deadlines: TimeIndex<ClientId>,
-    /// How many records have been served on all connections. Served records are numbered by it, and the
-    /// number is the offset that clients are told.
+    /// How many records have been served on all connections: the Kafka offset of the next served record in a
+    /// Produce response.
     served_records: i64,
 }
 
@@ -127,7 +127,8 @@
         Some(ReadUpdate { state, changed })
     }
 
-    /// Parses the next complete request of a client. Returns `None` if there is none.
+    /// Parses the next complete request of a client. Returns `None` if there is none, and an error if the
+    /// client violates the protocol.
     pub(crate) fn next_request(&mut self, id: ClientId) -> Result<Option<Request>, ProtocolError> {
         let Some(connection) = self.connections.get_mut(&id) else { return Ok(None) };
         match connection.frames.next_frame()? {
@@ -136,12 +137,13 @@
         }
     }
 
-    /// Returns the number that the next request of this client will have.
+    /// Returns the number of the client's next request, counted on the connection from 0; 0 if there is no
+    /// such connection.
     pub(crate) fn next_request_number(&self, id: ClientId) -> u64 {
         self.connections.get(&id).map_or(0, ClientConnection::next_request_number)
     }
 
-    /// Queues a response that is ready.
+    /// Queues a response, which is sent after the responses to all earlier requests of the connection.
     pub(crate) fn enqueue_response(&mut self, id: ClientId, response: Bytes) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.requests.push_back(PendingRequest::Ready(response));
@@ -157,14 +159,16 @@
         self.update_deadline(id);
     }
 
-    /// Sets the final answer of a record.
+    /// Sets the final answer of the record at `position`. Does nothing if the connection has closed or the
+    /// record has a final answer already.
     pub(crate) fn complete(&mut self, position: RecordPosition, outcome: RecordOutcome) {
         if let Some(connection) = self.connections.get_mut(&position.client) {
             connection.complete_record(position, outcome);
         }
     }
 
-    /// Removes and returns the responses that may be sent now, in the order of the requests.
+    /// Removes and returns the responses that are ready and have no unanswered request before them, in the
+    /// order of the requests.
     pub(crate) fn take_responses(&mut self, id: ClientId) -> Vec<Bytes> {
         let mut responses = Vec::new();
         let Some(connection) = self.connections.get_mut(&id) else { return responses };
@@ -178,7 +182,8 @@
         responses
     }
 
-    /// Returns the earliest deadline of the requests of all connections, or `None` when none has one.
+    /// Returns the earliest deadline of the requests of all connections, by the monotonic clock, or `None` if
+    /// no request has one.
     pub(crate) fn next_deadline(&self) -> Option<Time> {
         self.deadlines.earliest()
     }
@@ -190,7 +195,7 @@
         overdue_connections.flat_map(|connection| connection.overdue_messages(now)).collect()
     }
 
-    /// Removes a connection and its requests. Returns its messages without a final answer.
+    /// Removes a connection and its requests. Returns the numbers of the messages that had no final answer.
     pub(crate) fn remove(&mut self, id: ClientId) -> Vec<u32> {
         let Some(connection) = self.connections.remove(&id) else { return Vec::new() };
         self.deadlines.remove(connection.deadline, id);
--- a/crates/edge/src/core/clients/connection.rs
+++ b/crates/edge/src/core/clients/connection.rs
@@ -14,7 +14,7 @@
     pub(super) frames: Frames,
     /// The requests without a response, in the order in which they were received.
     pub(super) requests: VecDeque<PendingRequest>,
-    /// The number of the first of them, counted on the connection from 0.
+    /// The number of the first request in `requests`, counted on the connection from 0.
     pub(super) first_request: u64,
     /// Bytes of responses that the operating system has not accepted yet.
     pub(super) unsent_bytes: usize,
@@ -22,8 +22,8 @@
     pub(super) paused: bool,
     /// Whether the client has shut down its sending side.
     pub(super) half_closed: bool,
-    /// The earliest deadline of its requests, `Time::MAX` for none. The deadline index has the connection
-    /// under this time.
+    /// The earliest deadline of the requests, by the monotonic clock; `Time::MAX` for none. The deadline
+    /// index of all connections has this connection under this time.
     pub(super) deadline: Time,
 }
 
@@ -51,12 +51,13 @@
         self.requests.len() >= limits.max_pipelined || self.unsent_bytes >= limits.max_unsent_bytes
     }
 
-    /// Returns the number that the next request will have.
+    /// Returns the number of the next request, counted on the connection from 0.
     pub(super) fn next_request_number(&self) -> u64 {
         self.first_request + self.requests.len() as u64
     }
 
-    /// Sets the final answer of a record.
+    /// Sets the final answer of the record at `position`. Does nothing if the connection has no such request
+    /// or record, or the record has a final answer already.
     pub(super) fn complete_record(&mut self, position: RecordPosition, outcome: RecordOutcome) {
         let Some(index) = position.request.checked_sub(self.first_request) else { return };
         let Some(request) = self.requests.get_mut(index as usize) else { return };
@@ -83,7 +84,7 @@
         self.requests.iter().take(overdue_requests).flat_map(PendingRequest::open_messages)
     }
 
-    /// Returns the earliest deadline of the requests, `Time::MAX` if none has one.
+    /// Returns the earliest deadline of the requests, by the monotonic clock; `Time::MAX` if none has one.
     pub(super) fn earliest_deadline(&self) -> Time {
         self.requests.iter().map(PendingRequest::deadline).min().unwrap_or(Time::MAX)
     }
--- a/crates/edge/src/core/clients/pending.rs
+++ b/crates/edge/src/core/clients/pending.rs
@@ -12,17 +12,17 @@
 pub(crate) struct PendingRecord {
     /// The message that was made of the record, or `None` if the record was shed.
     message: Option<u32>,
-    /// Its final answer, once there is one.
+    /// The final answer of the record, or `None` until there is one.
     outcome: Option<RecordOutcome>,
 }
 
 impl PendingRecord {
-    /// A record that became a message.
+    /// Creates a record that was accepted as the message with this number.
     pub(crate) fn accepted(message: u32) -> Self {
         PendingRecord { message: Some(message), outcome: None }
     }
 
-    /// A record that already has its final answer.
+    /// Creates a record that already has its final answer.
     pub(crate) fn completed(outcome: RecordOutcome) -> Self {
         PendingRecord { message: None, outcome: Some(outcome) }
     }
@@ -31,9 +31,9 @@
 /// One partition of a Produce request that awaits its response.
 #[derive(Debug)]
 pub(crate) enum PendingPartition {
-    /// None of its records was accepted, and its result is known.
+    /// No record of the partition was accepted, and the result of the partition is known.
     Rejected(PartitionResult),
-    /// Its records were accepted or shed.
+    /// The records of the partition were accepted or shed.
     Records { topic: String, partition: i32, records: Vec<PendingRecord> },
 }
 
@@ -95,14 +95,14 @@
 /// A request without a response.
 #[derive(Debug)]
 pub(super) enum PendingRequest {
-    /// Its response is ready and is sent as soon as the earlier requests of the connection have theirs.
+    /// The response is ready, and is sent as soon as the earlier requests of the connection have theirs.
     Ready(Bytes),
-    /// Its response awaits the final answers of records.
+    /// The response awaits the final answers of records.
     Produce {
         produce: PendingProduce,
         /// How many records have no final answer.
         open_records: usize,
-        /// The earliest deadline of its records, `Time::MAX` if none could be read.
+        /// The earliest deadline of the records, by the monotonic clock; `Time::MAX` if none could be read.
         deadline: Time,
     },
 }
@@ -114,7 +114,7 @@
         PendingRequest::Produce { produce, open_records, deadline }
     }
 
-    /// Returns when the request must have its response, `Time::MAX` if it is ready.
+    /// Returns when the request must have its response, by the monotonic clock; `Time::MAX` if it is ready.
     pub(super) fn deadline(&self) -> Time {
         match self {
             PendingRequest::Ready(_) => Time::MAX,
--- a/crates/edge/src/core/clock.rs
+++ b/crates/edge/src/core/clock.rs
@@ -15,7 +15,7 @@
         ClockReadings { now, earliest_arrival: now, wall: None }
     }
 
-    /// Returns the monotonic clock as of the current iteration.
+    /// Returns the monotonic clock as of the current iteration, in nanoseconds.
     pub(crate) fn now(&self) -> Time {
         self.now
     }
@@ -39,13 +39,13 @@
         self.earliest_arrival = self.now;
     }
 
-    /// Sets the wall clock.
+    /// Sets the wall clock as of [`ClockReadings::now`], in nanoseconds since 1970.
     pub(crate) fn set_wall(&mut self, wall: Time) {
         self.wall = Some(wall);
     }
 
-    /// Sets the earliest time at which inputs that are read now can have arrived, at most the monotonic
-    /// clock.
+    /// Sets the earliest time, by the monotonic clock, at which inputs that are read now can have arrived:
+    /// `min(since, now)`.
     pub(crate) fn set_earliest_arrival(&mut self, since: Time) {
         self.earliest_arrival = since.min(self.now);
     }
--- a/crates/edge/src/core/deadline.rs
+++ b/crates/edge/src/core/deadline.rs
@@ -11,7 +11,7 @@
 use super::clock::ClockReadings;
 use linnetcart::Time;
 
-/// How wall clocks of clients are interpreted.
+/// How the times that clients state by their wall clocks are interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientClocks {
     /// Greatest permitted difference between a client's wall clock and this courier's, in nanoseconds and in
@@ -25,11 +25,12 @@
 /// The times that a client states for a message, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StatedTimes {
-    /// The time from submission to the deadline.
+    /// The time from submission to the deadline; `None` if the client states none.
     pub(crate) time_left: Option<Time>,
-    /// The deadline, since 1970 by the client's wall clock.
+    /// The deadline, since 1970 by the client's wall clock; `None` if the client states none.
     pub(crate) deadline: Option<Time>,
-    /// When the message was created, since 1970 by the client's wall clock.
+    /// When the message was created, since 1970 by the client's wall clock; `None` if the client states no
+    /// time.
     pub(crate) created_at: Option<Time>,
 }
 
--- a/crates/edge/src/core/decisions.rs
+++ b/crates/edge/src/core/decisions.rs
@@ -6,7 +6,8 @@
 
 /// A decision policy. In production it is always [`Dispatcher`]; experiments compare other policies with it.
 pub trait DecisionPolicy: std::fmt::Debug {
-    /// Runs one decision cycle: takes all events since the last one and returns the actions to carry out.
+    /// Runs one decision cycle at `now` by the monotonic clock: takes all events since the last cycle and
+    /// returns the actions to carry out.
     fn decide(&mut self, now: Time, events: Vec<Event>) -> Vec<Action>;
 }
 
@@ -33,7 +34,8 @@
     /// The events since the last cycle, in order.
     events: Vec<Event>,
     last_cycle: Time,
-    /// When the policy has requested a cycle even without events, `Time::MAX` for never.
+    /// When the policy has requested a cycle even without events, by the monotonic clock; `Time::MAX` for
+    /// never.
     wake_up_at: Time,
     cycles: u64,
 }
@@ -58,13 +60,14 @@
         self.events.push(event);
     }
 
-    /// Sets when a cycle runs even without events. Replaces the time that was set before.
+    /// Sets when a cycle runs even without events, by the monotonic clock. Replaces the time that was set
+    /// before.
     pub(crate) fn set_wake_up(&mut self, at: Time) {
         self.wake_up_at = at;
     }
 
-    /// Returns when the next cycle is due: at once if there are events, otherwise at the wake-up time, but
-    /// never before `last_cycle + tick`. `Time::MAX` means never.
+    /// Returns when the next cycle is due, by the monotonic clock: at once if there are events, otherwise at
+    /// the wake-up time, but never before `last_cycle + tick`. `Time::MAX` means never.
     pub(crate) fn next_cycle(&self) -> Time {
         let requested_at = if self.events.is_empty() { self.wake_up_at } else { 0 };
         if requested_at == Time::MAX {
@@ -73,7 +76,8 @@
         requested_at.max(self.last_cycle + self.tick)
     }
 
-    /// Returns whether a cycle is due.
+    /// Returns whether a cycle is due at `now`: there are events or the wake-up time has come, and `now >=
+    /// last_cycle + tick`.
     pub(crate) fn is_due(&self, now: Time) -> bool {
         let requested = !self.events.is_empty() || self.wake_up_at <= now;
         requested && now >= self.last_cycle + self.tick
--- a/crates/edge/src/core/delivery.rs
+++ b/crates/edge/src/core/delivery.rs
@@ -36,8 +36,8 @@
 
 type CallId = u64;
 
-/// The correlation id of the version request (ApiVersions), the first on a connection. Those of calls begin
-/// at 1.
+/// The correlation id of the version request (ApiVersions), the first on a connection. The correlation ids of
+/// calls begin at 1.
 const VERSION_REQUEST: i32 = 0;
 /// The version of ApiVersions that the version request uses, the oldest, so that any endpoint can parse it.
 const VERSION_REQUEST_VERSION: i16 = 0;
@@ -60,7 +60,8 @@
 }
 
 impl OutgoingMessage {
-    /// Returns when the attempt is given up if it has not been written.
+    /// Returns when the attempt is given up if it has not been written: `min(write_by, deadline)`, by the
+    /// monotonic clock.
     fn write_deadline(&self) -> Time {
         self.write_by.min(self.deadline)
     }
@@ -72,9 +73,9 @@
     pub(crate) attempt: AttemptId,
     pub(crate) endpoint: u32,
     pub(crate) outcome: AttemptOutcome,
-    /// When its call was opened, by the monotonic clock.
+    /// When the attempt's call was opened, by the monotonic clock.
     pub(crate) started_at: Time,
-    /// The load report of the response, if it had one.
+    /// The load report of the response; `None` if the response has none or there was no response.
     pub(crate) load: Option<LoadReport>,
 }
 
@@ -85,7 +86,7 @@
     pub(crate) endpoint: u32,
 }
 
-/// An endpoint that violated the protocol. Its connection was closed.
+/// A protocol violation by an endpoint. The connection was closed because of it.
 #[derive(Debug)]
 pub(crate) struct EndpointViolation {
     pub(crate) endpoint: u32,
@@ -99,7 +100,7 @@
     pub(crate) max_calls: usize,
     /// How many calls without a response a connection may carry.
     pub(crate) calls_per_connection: usize,
-    /// How long a connection that carries no awaited call stays open, in nanoseconds.
+    /// How long a connection stays open while it carries no call or only abandoned ones, in nanoseconds.
     pub(crate) idle_timeout: Time,
     /// How long it may take to establish a connection and to get the version request answered, in
     /// nanoseconds.
@@ -193,7 +194,9 @@
         self.calls.has_written_attempt(message)
     }
 
-    /// Returns the earliest time at which [`Delivery::expire`] must run, or `None` when nothing is pending.
+    /// Returns when [`Delivery::expire`] must run next, by the monotonic clock: the earliest time at which an
+    /// attempt or a connection must be checked for a timeout. `None` if there are neither attempts nor
+    /// connections.
     pub(crate) fn next_deadline(&self) -> Option<Time> {
         let attempt = self.calls.next_deadline();
         let connection = self.connections.next_timeout();
--- a/crates/edge/src/core/delivery/calls.rs
+++ b/crates/edge/src/core/delivery/calls.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub(crate) message: u32,
-    /// Its number among the message's attempts, from 0.
+    /// The number of the attempt among those of the message, counted from 0.
     pub(crate) number: u16,
 }
 
@@ -18,19 +18,21 @@
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) endpoint: u32,
-    /// The connection that carries it, once it has been dispatched.
+    /// The connection that carries the call; `None` until the call has been dispatched.
     pub(super) connection: Option<UpstreamId>,
     /// The messages whose attempts have no outcome yet. Empty in an abandoned call: every attempt has its
     /// outcome, but the response is still outstanding.
     pub(super) messages: Vec<OutgoingMessage>,
-    /// The attempt that finished last.
+    /// The attempt of the call that finished last. A Retry-After that arrives after it is reported under this
+    /// attempt.
     pub(super) last_finished: AttemptId,
-    /// The position of its first byte in the byte stream of the connection, once it has been written.
+    /// The position of the call's first byte in the byte stream of the connection; `None` until the call has
+    /// been written.
     pub(super) stream_offset: Option<u64>,
-    /// When it was opened, by the monotonic clock.
+    /// When the call was opened, by the monotonic clock.
     pub(super) started_at: Time,
-    /// How long its connection had been idle before it was dispatched, in nanoseconds; 0 if the connection
-    /// was new or carried other calls.
+    /// How long the connection had been idle before the call was dispatched, in nanoseconds; 0 if the
+    /// connection was new or carried other calls.
     pub(super) connection_idle_for: Time,
 }
 
@@ -39,7 +41,8 @@
         self.stream_offset.is_some()
     }
 
-    /// Returns whether every message has its outcome while the response is still outstanding.
+    /// Returns whether every attempt of the call has its outcome. While such a call is in the table, its
+    /// response is outstanding.
     pub(super) fn is_abandoned(&self) -> bool {
         self.messages.is_empty()
     }
@@ -54,7 +57,7 @@
 pub(super) struct RemovedAttempt {
     pub(super) endpoint: u32,
     pub(super) started_at: Time,
-    /// Whether no attempt of its call is left without an outcome.
+    /// Whether every attempt of the call has its outcome now.
     pub(super) was_last: bool,
 }
 
@@ -66,14 +69,14 @@
     pub(super) outcome: AttemptOutcome,
 }
 
-/// A call cannot be opened: all slots are occupied.
+/// Why a call cannot be opened: all slots are occupied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NoSlot;
 
-/// Bounds on the number of calls and on the messages of one.
+/// Bounds on the number of calls in flight and on the messages of one call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallBounds {
-    /// The number of slots.
+    /// The number of slots: how many calls that are not abandoned may be in flight at once.
     pub(super) max_calls: usize,
     /// How many messages one call to the endpoint may carry, by the kind of its destination.
     pub(super) max_messages_per_call: usize,
@@ -86,10 +89,10 @@
     /// The number of calls that are not abandoned. Each occupies a slot.
     occupied_slots: usize,
     by_attempt: BTreeMap<AttemptId, CallId>,
-    /// When each attempt must be checked next: at its write deadline, and once it has been written at its
-    /// deadline.
+    /// When each attempt must be checked next, by the monotonic clock: at its write deadline until it has
+    /// been written, and at its deadline after that.
     deadlines: TimeIndex<AttemptId>,
-    /// For each endpoint the call that further messages of this cycle may join.
+    /// For each endpoint, the call of this cycle that further messages may join.
     joinable: BTreeMap<u32, CallId>,
     /// The calls of this cycle, in the order in which they were opened. None has a connection yet.
     undispatched: Vec<CallId>,
@@ -114,7 +117,8 @@
         self.by_attempt.get(&attempt).copied()
     }
 
-    /// Returns when the next attempt must be checked for a timeout, or `None` when no attempt is in flight.
+    /// Returns when the next attempt must be checked for a timeout, by the monotonic clock, or `None` when no
+    /// attempt is in flight.
     pub(super) fn next_deadline(&self) -> Option<Time> {
         self.deadlines.earliest()
     }
@@ -209,8 +213,8 @@
     }
 
     /// Returns the next attempt that has timed out: `NoConnection` if it was not written by its write
-    /// deadline, `TimedOut` if it was written and its deadline has passed. It stays in the table until the
-    /// caller removes it.
+    /// deadline, `TimedOut` if it was written and its deadline has passed. The attempt stays in the table
+    /// until the caller removes it.
     pub(super) fn next_expired(&mut self, now: Time) -> Option<ExpiredAttempt> {
         while let Some(due) = self.deadlines.first_due(now) {
             let attempt = due.id;
@@ -228,7 +232,8 @@
                 let outcome = AttemptOutcome::TimedOut;
                 return Some(ExpiredAttempt { call: call_id, attempt, outcome });
             }
-            // It was written in time. From here on its deadline applies instead of the write deadline.
+            // The attempt was written in time. From here on its deadline applies instead of the write
+            // deadline.
             self.deadlines.remove(due.at, attempt);
             self.deadlines.insert(deadline, attempt);
         }
--- a/crates/edge/src/core/delivery/connections.rs
+++ b/crates/edge/src/core/delivery/connections.rs
@@ -11,9 +11,10 @@
 /// How far a connection has been set up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It is being established, or the endpoint has not answered the version request yet. Calls wait.
+    /// The connection is being established, or the endpoint has not answered the version request yet. Calls
+    /// wait.
     Connecting,
-    /// It carries calls, in the version of Produce that was negotiated.
+    /// The connection carries calls, in the version of Produce that was negotiated.
     Ready { produce_version: i16 },
 }
 
@@ -24,7 +25,7 @@
     address: SocketAddr,
     pub(super) state: ConnectionState,
     pub(super) frames: Frames,
-    /// How many bytes were passed to the shell for it so far, the length of its byte stream.
+    /// How many bytes have been passed to the shell for the connection: the length of its byte stream so far.
     pub(super) queued_bytes: u64,
     last_correlation: i32,
     /// The calls that were written and have no response, by correlation id.
@@ -36,8 +37,8 @@
     /// Monotonic time of the connection's creation, of its last dispatch of a call or of the last change that
     /// left it without awaited calls, whichever is latest.
     pub(super) last_used: Time,
-    /// When the connection is next checked for a timeout: the connect timeout until the connection is ready,
-    /// the idle timeout after that.
+    /// When the connection is next checked for a timeout, by the monotonic clock: at the connect timeout
+    /// until the connection is ready, at the idle timeout after that.
     timeout_at: Time,
     /// The time under which the connection is in its endpoint's index of idle connections, or `None` if it is
     /// not idle.
@@ -49,18 +50,17 @@
         self.state != ConnectionState::Connecting
     }
 
-    /// Returns whether it is ready and carries no call, not even an abandoned one.
+    /// Returns whether the connection is ready and carries no call, not even an abandoned one.
     fn is_idle(&self) -> bool {
         self.is_ready() && self.written_calls.is_empty() && self.waiting_calls.is_empty()
     }
 
-    /// Returns whether it carries a call that is not abandoned.
+    /// Returns whether the connection carries a call that is not abandoned.
     fn has_awaited_calls(&self) -> bool {
         self.written_calls.len() > self.abandoned_calls || !self.waiting_calls.is_empty()
     }
 
-    /// Returns the correlation id of the next call: 1 to `i32::MAX`, then 1 again. 0 is that of the version
-    /// request.
+    /// Returns the correlation id of the next call: 1 to `i32::MAX`, then 1 again. The version request has 0.
     pub(super) fn next_correlation(&mut self) -> i32 {
         self.last_correlation = self.last_correlation % i32::MAX + 1;
         self.last_correlation
@@ -71,18 +71,18 @@
 #[derive(Debug, Default)]
 struct EndpointConnections {
     all: BTreeSet<UpstreamId>,
-    /// The idle ones, by the time since when they have been idle.
+    /// The idle connections, by the time since when they have been idle.
     idle: TimeIndex<UpstreamId>,
-    /// Those with abandoned calls.
+    /// The connections with abandoned calls.
     abandoned: BTreeSet<UpstreamId>,
 }
 
 /// Connection counts for the status page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConnectionCounts {
-    /// Those open or being established.
+    /// Connections that are open or being established.
     pub(crate) open: usize,
-    /// Of these, those with abandoned calls.
+    /// Connections with abandoned calls, which are part of `open`.
     pub(crate) abandoned: usize,
 }
 
@@ -93,7 +93,8 @@
     pub(super) endpoint: u32,
     pub(super) address: SocketAddr,
     pub(super) max_frame_bytes: usize,
-    /// When it is closed if the endpoint has not answered the version request, by the monotonic clock.
+    /// When the connection is closed unless the endpoint has answered the version request, by the monotonic
+    /// clock.
     pub(super) timeout_at: Time,
 }
 
@@ -132,7 +133,8 @@
         self.by_endpoint.contains_key(&endpoint)
     }
 
-    /// Returns when the next connection must be checked for a timeout, or `None` when there is no connection.
+    /// Returns when the next connection must be checked for a timeout, by the monotonic clock, or `None` when
+    /// there is no connection.
     pub(super) fn next_timeout(&self) -> Option<Time> {
         self.timeouts.earliest()
     }
@@ -251,7 +253,8 @@
     }
 
     /// Returns the idle connections to an endpoint, longest idle first, up to the first for which `condition`
-    /// does not hold. Its argument is the time since when the connection has been idle.
+    /// does not hold. `condition` takes the time since when the connection has been idle, by the monotonic
+    /// clock.
     pub(super) fn idle_while(&self, endpoint: u32, condition: impl Fn(Time) -> bool) -> Vec<UpstreamId> {
         let Some(of_endpoint) = self.by_endpoint.get(&endpoint) else { return Vec::new() };
         let matching = of_endpoint.idle.iter().take_while(|entry| condition(entry.at));
--- a/crates/edge/src/core/delivery/dispatch.rs
+++ b/crates/edge/src/core/delivery/dispatch.rs
@@ -11,8 +11,8 @@
 
 impl Delivery {
     /// Starts an attempt: its message joins this cycle's call to the endpoint if that has capacity left,
-    /// otherwise a new call. Without a free slot for that the attempt is not sent. Nothing is written before
-    /// [`Delivery::dispatch`].
+    /// otherwise a new call. If the new call needs a slot and none is free, the attempt ends as not sent.
+    /// Nothing is written before [`Delivery::dispatch`].
     pub(crate) fn send(&mut self, endpoint: u32, message: OutgoingMessage, max_messages_per_call: usize) {
         let attempt = message.attempt;
         let bounds = CallBounds { max_calls: self.settings.max_calls, max_messages_per_call };
--- a/crates/edge/src/core/delivery/outcomes.rs
+++ b/crates/edge/src/core/delivery/outcomes.rs
@@ -20,7 +20,8 @@
         Some(removed)
     }
 
-    /// Finishes one attempt of a call without a response. Abandons the call if it was the last one.
+    /// Finishes one attempt of a call without a response. Abandons the call if no other attempt of it is
+    /// left.
     pub(super) fn give_up_attempt(&mut self, call_id: CallId, attempt: AttemptId, outcome: AttemptOutcome) {
         let removed = self.finish_attempt(call_id, attempt, outcome, None);
         if removed.is_some_and(|removed| removed.was_last) {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Closes the least recently used connection with abandoned calls to an endpoint if there are more of
-    /// them than slots.
+    /// Closes the least recently used connection with abandoned calls to an endpoint if there are more such
+    /// connections to it than slots.
     fn close_excess_abandoned(&mut self, endpoint: u32) {
         if let Some(oldest) = self.connections.excess_abandoned(endpoint, self.settings.max_calls) {
             self.close(oldest, AttemptOutcome::Reset);
@@ -86,7 +87,7 @@
         self.give_up_attempt(call_id, attempt, outcome);
     }
 
-    /// Finishes the attempts and closes the connections that have timed out.
+    /// Finishes the attempts that have timed out, and closes the connections that have timed out.
     pub(crate) fn expire(&mut self) {
         while let Some(expired) = self.calls.next_expired(self.now) {
             self.give_up_attempt(expired.call, expired.attempt, expired.outcome);
--- a/crates/edge/src/core/delivery/produce.rs
+++ b/crates/edge/src/core/delivery/produce.rs
@@ -36,7 +36,7 @@
 }
 
 /// Encodes the Produce request of a call, its messages grouped by class and destination. The request's
-/// timeout is the longest time that one of its attempts has left, in milliseconds.
+/// timeout is `max(deadline - now)` over the attempts of the call, in milliseconds.
 pub(super) fn encode_call(
     settings: &DeliverySettings,
     header: RequestHeader,
@@ -68,13 +68,14 @@
     u64::try_from(reply.throttle_ms).unwrap_or(0) * NANOS_PER_MS
 }
 
-/// Returns whether the endpoint rejected a partition because it is at its limit.
+/// Returns whether the endpoint rejected a partition because the endpoint is at its limit.
 pub(super) fn is_throttled(reply: &ProduceReply) -> bool {
     reply.parts.iter().any(|result| result.code == codes::THROTTLING_QUOTA_EXCEEDED)
 }
 
-/// Returns the outcome of each attempt of a call, by the error code of its partition in the response. Other
-/// codes than none and throttled, and a partition that the response lacks, are an error.
+/// Returns the outcome of each attempt of a call, by the error code of its partition in the response: `NONE`
+/// is `Served`, and `THROTTLING_QUOTA_EXCEEDED` is `Rejected` with the Retry-After of the response. Any other
+/// code, or a partition that the response lacks, is `Error`.
 pub(super) fn outcomes(settings: &DeliverySettings, call: &Call, reply: &ProduceReply) -> Vec<StatedOutcome> {
     let mut outcomes = Vec::with_capacity(call.messages.len());
     for message in &call.messages {
--- a/crates/edge/src/core/delivery/responses.rs
+++ b/crates/edge/src/core/delivery/responses.rs
@@ -112,8 +112,8 @@
         Ok(())
     }
 
-    /// Reports the Retry-After of a response to an abandoned call, by the attempt of the call that finished
-    /// last. It applies although no attempt of the call is left to report it.
+    /// Reports the Retry-After of a response to an abandoned call, under the attempt of the call that
+    /// finished last. The Retry-After applies although no attempt of the call is left to report it.
     fn report_late_rejection(&mut self, call_id: CallId, reply: &ProduceReply) {
         let Some(call) = self.calls.get(call_id).filter(|call| call.is_abandoned()) else { return };
         let retry_after = produce::retry_after(reply);
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Records lost connections to an endpoint that has answered a call started at `answered_started_at`. An
-    /// abandoned call that was started earlier, as the first after an idle period of its connection, counts
-    /// as lost with the connection: the endpoint responds, but not there. Such a loss shortens the idle time
-    /// up to which connections are reused, once for each call.
+    /// Records lost connections to an endpoint that has answered a call started at `answered_started_at`. If
+    /// an abandoned call was started earlier, as the first after an idle period of its connection, that
+    /// connection counts as lost: the endpoint responds, but on other connections only. Such a loss shortens
+    /// the idle time up to which connections are reused, once for each call.
     fn record_lost_connections(&mut self, endpoint: u32, answered_started_at: Time) {
         let abandoned = self.connections.abandoned(endpoint);
         for call_id in abandoned.flat_map(|connection| connection.written_calls.values()) {
@@ -143,12 +143,12 @@
     }
 }
 
-/// Whether a connection had a complete frame.
+/// Whether a complete frame of a connection was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FrameProgress {
-    /// It was complete and has been handled.
+    /// A complete frame was handled.
     Processed,
-    /// It needs more bytes.
+    /// The frame needs more bytes.
     Incomplete,
 }
 
--- a/crates/edge/src/core/delivery/upstream.rs
+++ b/crates/edge/src/core/delivery/upstream.rs
@@ -9,9 +9,9 @@
 /// The outcomes of the calls on a connection that is closed or lost.
 #[derive(Clone, Copy, Debug)]
 struct CallOutcomes {
-    /// Of calls of which the endpoint may have received a byte.
+    /// The outcome of calls of which the endpoint may have received a byte.
     possibly_sent: AttemptOutcome,
-    /// Of calls of which it cannot have received any.
+    /// The outcome of calls of which the endpoint cannot have received any byte.
     unsent: AttemptOutcome,
 }
 
@@ -32,8 +32,8 @@
     }
 
     /// Removes a connection that was closed or lost, and finishes its calls. The operating system had
-    /// accepted the first `accepted_bytes` of its byte stream, so written calls with a stream offset below
-    /// that may have been sent, and all others were not.
+    /// accepted the first `accepted_bytes` of its byte stream, so a written call may have been sent if
+    /// `stream_offset < accepted_bytes`. No other call was sent.
     fn remove_connection(&mut self, id: UpstreamId, accepted_bytes: u64, outcomes: CallOutcomes) {
         let Some(connection) = self.connections.remove(id) else { return };
         for call_id in connection.written_calls.into_values() {
--- a/crates/edge/src/core/drain.rs
+++ b/crates/edge/src/core/drain.rs
@@ -5,7 +5,7 @@
 /// Whether the courier drains, and the deadline for the messages in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Drain {
-    /// `None` while the courier does not drain.
+    /// When the drain is over, by the monotonic clock; `None` while the courier does not drain.
     deadline: Option<Time>,
 }
 
@@ -21,7 +21,7 @@
     }
 
     /// Returns when the messages that are still in flight get their final answers without further attempts,
-    /// or `None` while the courier does not drain.
+    /// by the monotonic clock, or `None` while the courier does not drain.
     pub(crate) fn deadline(&self) -> Option<Time> {
         self.deadline
     }
--- a/crates/edge/src/core/error.rs
+++ b/crates/edge/src/core/error.rs
@@ -4,8 +4,8 @@
 use linnetcart_kafka::server::RequestError;
 use linnetcart_kafka::{FrameError, PRODUCE};
 
-/// A protocol violation by a client or an endpoint. The text is the `reason` of the delivery event and of the
-/// log line.
+/// A protocol violation by a client or an endpoint. The text is the `reason` in
+/// `DeliveryEvent::ProtocolViolation` and in the log line that is written for it.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ProtocolError {
     #[error(transparent)]
--- a/crates/edge/src/core/in_flight.rs
+++ b/crates/edge/src/core/in_flight.rs
@@ -16,9 +16,9 @@
     pub(crate) destination: u32,
     /// The record to deliver. It is empty once the message is completed.
     pub(crate) record: Record,
-    /// When it was accepted, by the monotonic clock.
+    /// When the message was accepted, by the monotonic clock.
     pub(crate) accepted_at: Time,
-    /// When it must have its final answer, by the monotonic clock.
+    /// When the message must have its final answer, by the monotonic clock.
     pub(crate) deadline: Time,
 }
 
@@ -28,9 +28,9 @@
     pub(crate) message: Message,
     /// Whether a finished attempt was executed or may have been.
     pub(crate) possibly_executed: bool,
-    /// Whether it has its final answer, or needs none because its client disconnected.
+    /// Whether the message has its final answer, or needs none because its client disconnected.
     completed: bool,
-    /// The size of its record when it was accepted.
+    /// The size of the record when the message was accepted, in bytes.
     bytes: usize,
     /// How many attempts were begun, including those that were not sent.
     attempts: u16,
@@ -40,7 +40,7 @@
 /// An attempt that [`InFlightTable::begin_attempt`] has numbered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BegunAttempt {
-    /// Its number among the message's attempts, from 0.
+    /// The number of the attempt among those of the message, counted from 0.
     pub(crate) number: u16,
     /// Whether another attempt of the message is in flight.
     pub(crate) hedge: bool,
@@ -51,9 +51,9 @@
 /// Whether a message still needs a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageState {
-    /// It has no final answer yet.
+    /// The message has no final answer yet.
     Open,
-    /// It has its final answer or needs none, or it is no longer in the table.
+    /// The message has its final answer or needs none, or it is no longer in the table.
     Completed,
 }
 
@@ -62,7 +62,7 @@
 pub(crate) struct Usage {
     /// The number of messages without a final answer.
     pub(crate) messages: usize,
-    /// The bytes of their records when they were accepted.
+    /// The size of the records of these messages when they were accepted, in bytes.
     pub(crate) bytes: usize,
 }
 
@@ -93,12 +93,12 @@
         self.usage.messages == 0
     }
 
-    /// Returns a message, completed or not.
+    /// Returns a message, completed or not, or `None` if it is not in the table.
     pub(crate) fn get(&self, message: u32) -> Option<&InFlightMessage> {
         self.messages.get(&message)
     }
 
-    /// Returns a message that has no final answer yet.
+    /// Returns a message, or `None` if it is completed or not in the table.
     pub(crate) fn get_open(&self, message: u32) -> Option<&InFlightMessage> {
         self.messages.get(&message).filter(|message| !message.completed)
     }
--- a/crates/edge/src/core/responses.rs
+++ b/crates/edge/src/core/responses.rs
@@ -7,17 +7,17 @@
 /// The final answer of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RecordOutcome {
-    /// Delivered.
+    /// The message was delivered.
     Served,
-    /// Rejected. It is harmless to submit it again.
+    /// The message was rejected. It is harmless to submit it again.
     Rejected {
         /// Retry-After: how long the client is to wait before it submits it again, in nanoseconds; 0 for no
         /// such advice.
         retry_after: Time,
-        /// Whether it is certain that no attempt of it has been executed.
+        /// Whether it is certain that no attempt of the message has been executed.
         not_executed: bool,
     },
-    /// Failed. It may have been executed.
+    /// The message failed. It may have been executed.
     Failed,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PartitionAnswer {
     pub(crate) result: PartitionResult,
-    /// The longest Retry-After of its rejected records, in nanoseconds; 0 for none.
+    /// The longest Retry-After of the partition's rejected records, in nanoseconds; 0 for none.
     pub(crate) retry_after: Time,
 }
 
@@ -65,8 +65,8 @@
     }
 }
 
-/// Returns the answer for a partition whose records have these outcomes. `offset` is that of the first served
-/// record.
+/// Returns the answer for a partition whose records have these outcomes. `offset` is the Kafka offset of the
+/// first served record.
 ///
 /// The error code depends on the outcomes:
 ///
--- a/crates/edge/src/core/retry_after.rs
+++ b/crates/edge/src/core/retry_after.rs
@@ -45,7 +45,7 @@
 }
 
 impl RetryAfterTable {
-    /// Sets the limits of a new endpoint list. Those of endpoints outside the list stay only if
+    /// Sets the limits of a new endpoint list. The limit of an endpoint outside the list is kept only if
     /// `is_connected` returns `true` for the endpoint.
     pub(crate) fn set_limits(
         &mut self,
@@ -56,9 +56,9 @@
         self.limits.extend(listed.map(|listed| (listed.endpoint, listed.limit)));
     }
 
-    /// Records the Retry-After of an endpoint, in nanoseconds from `now`; 0 means none. Its limit is blocked
-    /// until `now + retry_after`, or longer if an earlier Retry-After ends later. Does nothing for an
-    /// endpoint whose limit is not known.
+    /// Records the Retry-After of an endpoint, in nanoseconds from `now`; 0 means none. The endpoint's limit
+    /// is blocked until `now + retry_after`, or longer if an earlier Retry-After ends later. Does nothing for
+    /// an endpoint whose limit is not known.
     pub(crate) fn record(&mut self, endpoint: u32, retry_after: Time, now: Time) {
         if retry_after == 0 {
             return;
--- a/crates/edge/src/core/status.rs
+++ b/crates/edge/src/core/status.rs
@@ -11,7 +11,7 @@
     /// Messages without a final answer.
     #[serde(rename = "held")]
     pub in_flight: usize,
-    /// Bytes of their records when they were accepted.
+    /// Size of the records of messages without a final answer, as accepted, in bytes.
     #[serde(rename = "held_bytes")]
     pub in_flight_bytes: usize,
     /// Calls that occupy a slot: those in flight that are not abandoned.
@@ -19,12 +19,13 @@
     /// Connections to endpoints that are open or being established.
     #[serde(rename = "links")]
     pub upstream_connections: usize,
-    /// Of these, those that await the response to an abandoned call.
+    /// Connections to endpoints that await the response to an abandoned call, which are part of
+    /// `upstream_connections`.
     #[serde(rename = "links_abandoned")]
     pub abandoned_connections: usize,
     /// Connections of clients.
     pub clients: usize,
-    /// Of these, those that are not read because of a limit.
+    /// Connections of clients that are not read because of a limit, which are part of `clients`.
     #[serde(rename = "clients_paused")]
     pub paused_clients: usize,
     /// The version of the endpoint list in force.
@@ -51,23 +52,23 @@
 /// Counters of the messages of a class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClassCounters {
-    /// Accepted for delivery.
+    /// Messages accepted for delivery.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Served, in or after the latency objective.
+    /// Messages served, in or after the latency objective.
     pub served: u64,
-    /// Served within the latency objective.
+    /// Messages served within the latency objective.
     #[serde(rename = "in_aim")]
     pub served_in_objective: u64,
-    /// Rejected after they were accepted.
+    /// Messages rejected after they were accepted.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed: given up although they may have been executed.
+    /// Messages failed: given up although they may have been executed.
     pub failed: u64,
-    /// Cancelled because the client disconnected.
+    /// Messages cancelled because the client disconnected.
     #[serde(rename = "withdrawn")]
     pub client_cancelled: u64,
-    /// Rejected before they were accepted, because of load or a drain.
+    /// Messages rejected before they were accepted, because of load or a drain.
     #[serde(rename = "turned_away")]
     pub shed: u64,
 }
--- a/crates/edge/src/counter_files.rs
+++ b/crates/edge/src/counter_files.rs
@@ -59,8 +59,11 @@
 }
 
 impl CounterFiles {
-    /// Writes a snapshot, opens the log `log_number`, which begins with `log_header`, and starts the worker
-    /// thread.
+    /// Writes a snapshot of `counters`, opens the log `log_number`, which begins with `log_header`, and
+    /// starts the worker thread.
+    ///
+    /// # Errors
+    /// Fails if the snapshot or the log cannot be written, or the thread cannot be started.
     pub fn create(
         dir: &Path,
         log_number: u64,
@@ -110,7 +113,11 @@
     }
 
     /// Has the worker thread sync the log; [`CounterFiles::finished`] returns the result under this number. A
-    /// log that is broken or too long is rotated first.
+    /// log that is broken or too long is rotated first: `counters` returns the counts for the snapshot, and
+    /// the new log begins with `log_header`.
+    ///
+    /// # Errors
+    /// Fails if the rotation fails, no log is open, or the worker thread has ended.
     pub fn sync(
         &mut self,
         number: u64,
@@ -126,8 +133,8 @@
         self.jobs.send(Job::Sync { log, number }).map_err(|_| CounterFileError::WorkerEnded)
     }
 
-    /// Rotates a broken log. It lacks frames whose counts only the snapshot contains, so the snapshot is
-    /// written before the call returns.
+    /// Rotates a broken log. The broken log lacks frames whose counts only the snapshot contains, so the
+    /// snapshot is written before the call returns.
     fn replace_broken_log(
         &mut self,
         counters: impl FnOnce() -> Saved,
--- a/crates/edge/src/counter_files/load.rs
+++ b/crates/edge/src/counter_files/load.rs
@@ -11,9 +11,9 @@
 /// A damaged snapshot of the counters, which was renamed.
 #[derive(Debug)]
 pub struct DamagedCounters {
-    /// What is wrong with it.
+    /// What is wrong with the snapshot.
     pub error: SnapshotError,
-    /// Path that it was renamed to.
+    /// Path that the damaged snapshot was renamed to.
     pub moved_to: PathBuf,
 }
 
@@ -30,7 +30,7 @@
     pub restored: RestoredState,
     /// Number for the next log, which no log has had before.
     pub next_log: u64,
-    /// The snapshot if it was damaged. Nothing is restored then.
+    /// The snapshot if it was damaged, in which case nothing is restored; otherwise `None`.
     pub damaged: Option<DamagedCounters>,
 }
 
@@ -42,6 +42,10 @@
 }
 
 /// Loads the counters of a state directory, which is created if it does not exist.
+///
+/// # Errors
+/// Fails if the directory or a file in it cannot be read, or a damaged snapshot cannot be renamed. Damage
+/// itself is no error; it is reported in [`LoadedCounters::damaged`].
 pub fn load(dir: &Path) -> io::Result<LoadedCounters> {
     fs::create_dir_all(dir)?;
     let (snapshot, damaged) = match load_snapshot(dir)? {
--- a/crates/edge/src/counter_files/worker.rs
+++ b/crates/edge/src/counter_files/worker.rs
@@ -18,9 +18,9 @@
 /// The result of a sync.
 #[derive(Debug)]
 pub struct FinishedSync {
-    /// Number that the sync was requested with.
+    /// Number with which the sync was requested.
     pub number: u64,
-    /// Whether all frames that were appended before the sync are on disk.
+    /// `Ok` if all frames that were appended before the sync are on disk.
     pub result: Result<(), CounterFileError>,
 }
 
@@ -34,8 +34,7 @@
                     return;
                 }
             }
-            // After a failure the previous snapshot and all logs since stay in place, which contain every
-            // count.
+            // If this fails, the previous snapshot and all logs since stay in place, and contain every count.
             Job::Snapshot { next_log, counters } => {
                 if let Err(error) = write_snapshot(dir, next_log, *counters) {
                     tracing::warn!(%error, "counter snapshot not written");
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -21,8 +21,11 @@
 
 use serde::de::DeserializeOwned;
 
-/// Parses a JSON document. The error gives the path of the field that does not fit its type, or `document` if
-/// the text as a whole is at fault.
+/// Parses a JSON document.
+///
+/// # Errors
+/// Fails if the text is not JSON of the type `T`. The error gives the path of the field that does not fit its
+/// type, or `document` if the text as a whole is at fault.
 pub fn parse_document<T: DeserializeOwned>(body: &[u8]) -> Result<T, InvalidDocument> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|error| {
--- a/crates/edge/src/settings/endpoint_list.rs
+++ b/crates/edge/src/settings/endpoint_list.rs
@@ -24,11 +24,12 @@
 /// Maximum rate of an endpoint, in calls per second.
 const MAX_RATE: f64 = 1e9;
 
-/// An update of the endpoint list.
+/// An update of the endpoint list (the body of `PUT /list`): either a complete new list or changes to the
+/// list in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListUpdate {
-    /// Version of the list after the update. It must be greater than that of the list in force.
+    /// Version of the list after the update. It must be greater than the version of the list in force.
     pub version: u64,
     /// Whether the entries replace the list in force. Otherwise they are changes to it.
     #[serde(rename = "whole")]
@@ -43,18 +44,19 @@
 pub struct EndpointEntry {
     /// Number of the endpoint, which is never reused for another endpoint.
     pub id: u32,
-    /// Number of its destination.
+    /// Number of the endpoint's destination.
     pub destination: u32,
-    /// Name of the kind of its destination, as in the settings.
+    /// Name of the kind of the endpoint's destination, as in the settings.
     pub kind: String,
-    /// Name of its zone, as in the settings.
+    /// Name of the endpoint's zone, as in the settings.
     pub zone: String,
-    /// Its limit in calls per second; 0 if it is not known. The setting `rates` states how accurate it is.
+    /// Rate limit of the endpoint, in calls per second; 0 if it is not known. The setting `rates` states how
+    /// accurate the value is.
     #[serde(default)]
     pub rate: f64,
-    /// Whether it is in service.
+    /// Whether the endpoint is in service.
     pub state: EntryState,
-    /// Address at which it accepts calls.
+    /// Address at which the endpoint accepts calls.
     pub address: SocketAddr,
 }
 
@@ -84,8 +86,13 @@
 }
 
 impl EndpointList {
-    /// Validates an update against the settings and this list, and returns the list after it. This list does
+    /// Validates an update against the settings and this list, and returns the updated list. This list does
     /// not change.
+    ///
+    /// # Errors
+    /// Fails if the version is not greater than that of this list, an entry is invalid or moves an endpoint
+    /// to another destination, or the updated list is too long or has endpoints of different kinds in one
+    /// destination.
     pub fn with_update(
         &self,
         update: &EndpointListUpdate,
@@ -127,6 +134,9 @@
     }
 
     /// Returns all entries, converted for the decision library.
+    ///
+    /// # Errors
+    /// Fails if the kind or the zone of an entry is not in the settings.
     pub fn library_entries(&self, settings: &Settings) -> Result<Vec<Endpoint>, InvalidDocument> {
         let mut endpoints = Vec::with_capacity(self.entries.len());
         for (index, entry) in self.entries.values().enumerate() {
--- a/crates/edge/src/settings/library.rs
+++ b/crates/edge/src/settings/library.rs
@@ -49,22 +49,22 @@
         }
     }
 
-    /// Returns the number of the class with this name.
+    /// Returns the number of the class with this name, or `None` if there is none.
     pub fn class(&self, name: &str) -> Option<u8> {
         self.classes.iter().position(|class| class.name == name).map(|index| index as u8)
     }
 
-    /// Returns the number of the zone with this name.
+    /// Returns the number of the zone with this name, or `None` if there is none.
     pub(super) fn zone_index(&self, name: &str) -> Option<u8> {
         self.zones.iter().position(|zone| zone == name).map(|index| index as u8)
     }
 
-    /// Returns the number of the kind with this name.
+    /// Returns the number of the kind with this name, or `None` if there is none.
     pub(super) fn kind_index(&self, name: &str) -> Option<u8> {
         self.kinds.iter().position(|kind| kind.name == name).map(|index| index as u8)
     }
 
-    /// Returns the kind with this name.
+    /// Returns the kind with this name, or `None` if there is none.
     pub fn kind(&self, name: &str) -> Option<&KindDoc> {
         self.kinds.iter().find(|kind| kind.name == name)
     }
--- a/crates/edge/src/settings/validation.rs
+++ b/crates/edge/src/settings/validation.rs
@@ -27,13 +27,20 @@
 
 impl Settings {
     /// Parses and validates a settings document.
+    ///
+    /// # Errors
+    /// Fails if the document cannot be parsed or a value is invalid. The error names the first field at
+    /// fault.
     pub fn parse(body: &[u8]) -> Result<Settings, InvalidDocument> {
         let settings: Settings = super::parse_document(body)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Validates all values. The error is that of the first invalid field.
+    /// Validates all values.
+    ///
+    /// # Errors
+    /// Fails if a value is invalid. The error names the first field at fault.
     pub fn check(&self) -> Result<(), InvalidDocument> {
         self.check_courier_and_zones()?;
         check_classes(&self.classes)?;
--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -221,7 +221,7 @@
     }
 
     /// Waits for events until the next iteration is due. After a stall it reads all input that has arrived.
-    /// Returns when the wait began.
+    /// Returns when the wait began, by the monotonic clock.
     fn poll(&mut self, events: &mut Vec<Event>) -> Time {
         let report_at = self.reporting.as_ref().map_or(Time::MAX, Reporting::next_wakeup);
         let core_at = self.program.core.as_ref().map_or(Time::MAX, Core::next_wakeup);
--- a/crates/edge/src/shell/telemetry/reporting.rs
+++ b/crates/edge/src/shell/telemetry/reporting.rs
@@ -14,23 +14,24 @@
 /// The socket on which the host's collectd sends its metrics.
 struct MetricsListener {
     token: Token,
-    /// Address in the settings that the socket was bound with.
+    /// Address that the socket is bound to, as in the settings.
     address: SocketAddr,
 }
 
 /// Telemetry of the courier, and its sockets and counter files.
 pub(in crate::shell) struct Reporting {
     pub(super) telemetry: Telemetry,
-    /// `None` without a state directory.
+    /// Files of the counter store; `None` without a state directory.
     counter_files: Option<CounterFiles>,
-    /// The connection to Graphite, open or being established.
+    /// The connection to Graphite, open or being established; `None` if there is neither.
     pub(super) graphite: Option<Token>,
-    /// The socket from which datagrams are sent to collectd, once one has been sent.
+    /// The socket from which datagrams are sent to collectd; `None` until the first has been sent.
     collectd: Option<Token>,
     metrics_listener: Option<MetricsListener>,
-    /// Version of the endpoint list that telemetry was last given.
+    /// Version of the endpoint list that telemetry was last given; `None` before the first list.
     list_version: Option<u64>,
-    /// When the last report of the process was requested, at shutdown.
+    /// When the last report of the process was requested, at shutdown, by the monotonic clock; `None` before
+    /// that.
     pub(super) last_report_at: Option<Time>,
 }
 
@@ -48,12 +49,13 @@
         }
     }
 
-    /// Returns when telemetry must be processed next, at the latest.
+    /// Returns when telemetry must be processed next at the latest, by the monotonic clock.
     pub(in crate::shell) fn next_wakeup(&self) -> Time {
         self.telemetry.next_wakeup()
     }
 
-    /// Returns the status of the reporting for the status page.
+    /// Returns, for the status page, the number of reports and cells, the state of the connection to
+    /// Graphite, and the metrics of the host.
     pub(in crate::shell) fn status(&self, now: Time) -> Status {
         self.telemetry.status(now)
     }
--- a/crates/edge/src/snapshot.rs
+++ b/crates/edge/src/snapshot.rs
@@ -59,7 +59,7 @@
     Write {
         /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
@@ -68,21 +68,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// Settings that take effect at the next start.
+    /// Settings that take effect at the next start; `None` if none were ever put.
     pub settings: Option<Settings>,
     /// Endpoint list in force.
     pub list: EndpointList,
-    /// Settings of telemetry.
+    /// Settings of telemetry; `None` if none were ever put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub telemetry: Option<Telemetry>,
 }
 
 /// Encodes a snapshot as the bytes of its file.
+///
+/// # Errors
+/// Fails if the snapshot cannot be serialized to JSON.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, SnapshotError> {
     encode_file(MAGIC, snapshot)
 }
 
 /// Decodes the bytes of a snapshot file.
+///
+/// # Errors
+/// Fails if the header line is invalid, or the content does not match it or cannot be parsed.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     decode_file(MAGIC, bytes)
 }
@@ -124,6 +130,9 @@
 }
 
 /// Replaces the snapshot of a state directory atomically.
+///
+/// # Errors
+/// Fails if the snapshot cannot be serialized to JSON or the file cannot be written.
 pub fn save(dir: &Path, snapshot: &Snapshot) -> Result<(), SnapshotError> {
     replace_file(dir, FILE_NAME, &encode(snapshot)?)
 }
@@ -151,15 +160,19 @@
     Good(Box<Snapshot>),
     /// A damaged snapshot, which was renamed.
     Damaged {
-        /// What is wrong with it.
+        /// What is wrong with the snapshot.
         error: SnapshotError,
-        /// Path that it was renamed to.
+        /// Path that the damaged snapshot was renamed to.
         moved_to: PathBuf,
     },
 }
 
 /// Loads the snapshot of a state directory, which is created if it does not exist. A damaged snapshot is
 /// renamed, so that it can be examined.
+///
+/// # Errors
+/// Fails if the directory cannot be created, the file cannot be read, or a damaged snapshot cannot be
+/// renamed.
 pub fn load(dir: &Path) -> io::Result<LoadedSnapshot> {
     fs::create_dir_all(dir)?;
     let bytes = match fs::read(dir.join(FILE_NAME)) {
