--- a/crates/conformance/src/records.rs
+++ b/crates/conformance/src/records.rs
@@ -45,15 +45,15 @@
 }
 
 impl Records {
-    /// Returns the latest time at which a courier received what an endpoint sent at `sent_at`: unchanged, or
-    /// the end of the partition that delayed it.
+    /// Returns the latest time at which a courier received what an endpoint sent at `sent_at`: the end of the
+    /// partition that was in force then, or `sent_at` if there was none.
     pub(crate) fn received_from_endpoint(&self, courier: u32, sent_at: Time) -> Time {
         let affects = |partition: &Partition| partition.endpoints && partition.courier == courier;
         self.after_partitions(sent_at, affects)
     }
 
-    /// Returns the latest time at which a client received what a courier sent at `sent_at`, or the courier
-    /// what a client sent: unchanged, or the end of the partition that delayed it.
+    /// Returns the latest time at which a client received what a courier sent at `sent_at`, or a courier what
+    /// a client sent: the end of the partition that was in force then, or `sent_at` if there was none.
     pub(crate) fn received_between_client_and_courier(&self, courier: u32, sent_at: Time) -> Time {
         let affects = |partition: &Partition| partition.clients && partition.courier == courier;
         self.after_partitions(sent_at, affects)
--- a/crates/conformance/src/records/deliveries.rs
+++ b/crates/conformance/src/records/deliveries.rs
@@ -7,9 +7,9 @@
 /// The position of a message on its connection. A courier accepts the messages of a connection in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionPosition {
-    /// The connection.
+    /// The number of the connection.
     pub connection: u64,
-    /// The sequence number of the message on the connection.
+    /// The position of the message among those that the client sent on the connection.
     pub sequence: u64,
 }
 
@@ -17,30 +17,30 @@
 /// `message`.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The message.
+    /// The number of the message.
     pub message: u64,
-    /// The courier that the message was submitted to.
+    /// The number of the courier that the message was submitted to.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The number of the courier's incarnation: which start of its process the message was submitted to.
     pub incarnation: u32,
-    /// The connection and the position on it.
+    /// The connection that the message was submitted on, and its position there.
     pub position: ConnectionPosition,
-    /// The class of the message.
+    /// The number of the message's class.
     pub class: u8,
-    /// The destination of the message.
+    /// The number of the message's destination.
     pub destination: u32,
-    /// The ordering key, if the message has one.
+    /// The ordering key, or `None` if the message has none.
     pub key: Option<u64>,
     /// When the client sent the message.
     pub at: Time,
     /// The deadline of the message, on the same clock as `at`.
     pub deadline: Time,
-    /// The final answers, in the order in which they arrived.
+    /// The final answers that the client received, in the order in which they arrived.
     pub answers: Vec<ClientAnswer>,
-    /// Travel time of the last answer, where it is known. Where it is not, this is 0 and the travel time is
-    /// part of [`Invariants::timing_tolerance`](crate::Invariants::timing_tolerance).
+    /// Travel time of the last answer; 0 where it is not recorded, and then it is part of
+    /// [`Invariants::timing_tolerance`](crate::Invariants::timing_tolerance).
     pub answer_travelled: Time,
-    /// When the courier died or the connection broke before the answer, if that happened.
+    /// When the courier died or the connection broke before the answer; `None` if neither happened.
     pub orphaned: Option<Time>,
 }
 
@@ -62,7 +62,7 @@
 pub struct ClientAnswer {
     /// When the client received the answer.
     pub at: Time,
-    /// The answer.
+    /// What the client was told.
     pub answer: Answer,
 }
 
@@ -96,27 +96,27 @@
 /// A message that reached an endpoint.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The message.
+    /// The number of the message.
     pub message: u64,
     /// The call that carried the message. A call counts once against a limit, however many messages it
     /// carries.
     pub call: u64,
-    /// The courier that sent the message.
+    /// The number of the courier that sent the message.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The number of the courier's incarnation: which start of its process sent the message.
     pub incarnation: u32,
-    /// The destination of the message.
+    /// The number of the message's destination.
     pub destination: u32,
-    /// The endpoint that the message reached.
+    /// The number of the endpoint that the message reached.
     pub endpoint: u32,
-    /// The zone of the endpoint.
+    /// The number of the endpoint's zone.
     pub zone: u8,
     /// Whether the endpoint is an independent route of its destination, with a limit of its own.
     pub independent_route: bool,
     /// When the message arrived.
     pub at: Time,
-    /// Travel time of the message, where it is known. Where it is not, this is 0 and the travel time is part
-    /// of [`Invariants::timing_tolerance`](crate::Invariants::timing_tolerance).
+    /// Travel time of the message; 0 where it is not recorded, and then it is part of
+    /// [`Invariants::timing_tolerance`](crate::Invariants::timing_tolerance).
     pub travelled: Time,
     /// What the endpoint did with the message.
     pub verdict: EndpointVerdict,
@@ -146,13 +146,13 @@
 /// A notification of a courier about the state of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointNotification {
-    /// The courier that was notified.
+    /// The number of the courier that was notified.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The number of the courier's incarnation: which start of its process was notified.
     pub incarnation: u32,
     /// The latest time at which the courier received the notification.
     pub at: Time,
-    /// The endpoint.
+    /// The number of the endpoint whose state the courier was notified of.
     pub endpoint: u32,
     /// Whether the endpoint is ready for new work. If not, it is draining or gone.
     pub ready: bool,
--- a/crates/conformance/src/records/faults.rs
+++ b/crates/conformance/src/records/faults.rs
@@ -6,10 +6,9 @@
 /// An outage of a destination or of one of its routes, followed by a recovery ramp (slow start).
 #[derive(Clone, Debug)]
 pub struct Outage {
-    /// The destination.
+    /// The number of the destination.
     pub destination: u32,
-    /// The affected route of a destination with independent routes; `None` if the whole destination is
-    /// affected.
+    /// The endpoint number of the affected independent route; `None` if the whole destination is affected.
     pub route: Option<u32>,
     /// When the outage began.
     pub from: Time,
@@ -29,9 +28,9 @@
 /// A period in which a courier was suspended, as by SIGSTOP.
 #[derive(Clone, Debug)]
 pub struct Stall {
-    /// The courier.
+    /// The number of the courier that was suspended.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The number of the courier's incarnation: which start of its process was suspended.
     pub incarnation: u32,
     /// When the stall began.
     pub from: Time,
@@ -50,7 +49,7 @@
 /// meanwhile arrived at the end of the period.
 #[derive(Clone, Copy, Debug)]
 pub struct Partition {
-    /// The courier that was cut off.
+    /// The number of the courier that was cut off.
     pub courier: u32,
     /// When the partition began.
     pub from: Time,
@@ -72,11 +71,11 @@
 /// sent anything.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedConnect {
-    /// The courier.
+    /// The number of the courier that tried to connect.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The number of the courier's incarnation: which start of its process tried to connect.
     pub incarnation: u32,
-    /// The endpoint of the connection.
+    /// The number of the endpoint that the courier tried to connect to.
     pub endpoint: u32,
     /// When the courier began to connect.
     pub from: Time,
--- a/crates/conformance/src/report.rs
+++ b/crates/conformance/src/report.rs
@@ -12,7 +12,7 @@
     pub rule: &'static str,
     /// How many cases the rule applied to. With none, the run did not exercise the rule.
     pub checked: u64,
-    /// How many of these cases violated the rule.
+    /// How many of the checked cases violated the rule.
     #[serde(rename = "broken")]
     pub violations: u64,
     /// Descriptions of the first violations.
@@ -67,16 +67,15 @@
     pub within_objective: u64,
     /// Messages served after the latency objective.
     pub late: u64,
-    /// Messages whose last answer was a rejection.
+    /// Messages that were never served and whose last answer was a rejection.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Messages whose last answer was a failure.
+    /// Messages that were never served and whose last answer was a failure.
     pub failed: u64,
-    /// Idempotent messages that were not answered before their deadline, though their client was free to
-    /// submit them again.
+    /// Idempotent messages that were never answered, though their client was free to submit them again.
     pub lost: u64,
-    /// Other messages without an answer: the client must not submit them again, and whether they were
-    /// executed is unknown.
+    /// Messages that were never answered and are not idempotent: the client must not submit them again, and
+    /// whether they were executed is unknown.
     pub unknown: u64,
     /// Submissions, including resubmissions by clients.
     #[serde(rename = "tries")]
@@ -86,7 +85,8 @@
     /// Sum of the priority weights of all messages.
     #[serde(rename = "asked")]
     pub requested_weight: f64,
-    /// Sum of the weights that messages had when they were served.
+    /// Sum of the weights that messages had when they were served
+    /// ([`Class::weight_at`](crate::Class::weight_at)).
     #[serde(rename = "worth")]
     pub delivered_weight: f64,
 }
@@ -100,8 +100,8 @@
     pub classes: Vec<ClassSummary>,
     /// Delivered weight divided by requested weight, over all classes.
     pub service: f64,
-    /// The lowest value of this ratio in any interval of 10 s, at most 1. A message belongs to the interval of
-    /// its first submission.
+    /// The lowest ratio of delivered to requested weight in any interval of 10 s, at most 1. A message
+    /// belongs to the interval of its first submission.
     pub worst_stretch: f64,
     /// Calls that endpoints rejected.
     #[serde(rename = "calls_refused")]
--- a/crates/conformance/src/rules/final_answer.rs
+++ b/crates/conformance/src/rules/final_answer.rs
@@ -1,4 +1,5 @@
-//! Rule 1: each submission gets exactly one final answer in time, and the message is not sent after it.
+//! Rule 1: each submission gets exactly one final answer, in time, and the courier does not send the message
+//! after that answer.
 
 use super::millis;
 use crate::index::RecordIndex;
@@ -12,7 +13,8 @@
 /// One-way trips until the first request on a new TCP connection arrives: SYN, SYN-ACK, then the request.
 const CONNECTION_TRIPS: u64 = 3;
 
-/// Checks that each submission got one answer in time, and that its message was not sent after that answer.
+/// Checks that the client received exactly one answer to each submission, no later than [`answer_deadline`],
+/// and that the courier did not send the message after that answer.
 pub(crate) fn check(records: &Records, invariants: &Invariants, index: &RecordIndex<'_>) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     for submission in &records.submissions {
--- a/crates/conformance/src/rules/key_order.rs
+++ b/crates/conformance/src/rules/key_order.rs
@@ -11,7 +11,8 @@
 
 const RULE: &str = "5 order by key, with the key's rest";
 
-/// The queue of one ordering key on one connection. The courier sends its messages in order.
+/// Identifies the queue of messages with one ordering key on one connection. The courier sends the messages
+/// of a queue in order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct KeyQueue {
     key: u64,
@@ -19,7 +20,7 @@
     connection: u64,
 }
 
-/// A message in flight at one courier, over any of its connections.
+/// Identifies a message at one incarnation of a courier, over any of its connections.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightMessage {
     message: u64,
@@ -95,8 +96,8 @@
     }
 }
 
-/// Checks that the first attempt at `later` was sent after each attempt at `earlier` and the cooldown of the
-/// key after it.
+/// Checks each attempt at `earlier`: the first attempt at `later` must have been sent no earlier than that
+/// attempt and, within `timing_tolerance`, no earlier than its [`cooldown_end`].
 fn check_order(
     result: &mut InvariantResult,
     lookup: &AttemptLookup<'_>,
@@ -127,8 +128,8 @@
     }
 }
 
-/// Returns when the next message of the key may be sent: when the endpoint answered the attempt, but no later
-/// than `key_cooldown` after the attempt was sent.
+/// Returns when the next message of the key may be sent: `min(answered, sent + key_cooldown)`, or `sent +
+/// key_cooldown` if the endpoint did not answer the attempt.
 fn cooldown_end(attempt: &Arrival, key_cooldown: Time) -> Time {
     let longest = attempt.sent() + key_cooldown;
     match (attempt.verdict, attempt.answered) {
--- a/crates/conformance/src/rules/recovery.rs
+++ b/crates/conformance/src/rules/recovery.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Checks each recovery ramp during which calls arrived.
+/// Checks each recovery ramp during which calls arrived. A ramp with a [`first_overload`] violates the rule.
 pub(crate) fn check(records: &Records, invariants: &Invariants) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     for outage in &records.outages {
@@ -126,7 +126,7 @@
     }
 }
 
-/// A window of the recovery ramp in which more calls arrived than the destination can take.
+/// A window of the recovery ramp in which more calls arrived than [`max_calls`] permits.
 struct Overload {
     begin: Time,
     calls: usize,
@@ -134,7 +134,8 @@
     by_informed_couriers: usize,
 }
 
-/// Returns the first overload of the ramp that is a violation, or `None` if there is none.
+/// Returns the first window of the ramp that is overloaded and in which couriers that knew of the outage made
+/// at least [`INFORMED_FRACTION`] of the calls, or `None` if there is none.
 fn first_overload(
     invariants: &Invariants,
     outage: &Outage,
@@ -159,7 +160,9 @@
     (0..during_ramp.len()).find_map(overload_at)
 }
 
-/// Returns how many calls may arrive in the window of the ramp that starts at `begin`.
+/// Returns how many calls may arrive in the window of the ramp that starts at `begin`: the mean, two standard
+/// deviations and one call (`mean + 2 * sqrt(mean) + 1`). The mean is `overload_ratio` times the calls that
+/// the destination has capacity for in the window.
 fn max_calls(invariants: &Invariants, outage: &Outage, begin: Time) -> f64 {
     // The capacity grows linearly during the ramp, so its mean over the window is its value at the middle.
     let middle = (begin - outage.until) as f64 + invariants.overload_window as f64 / 2.0;
--- a/crates/conformance/src/rules/retry_after.rs
+++ b/crates/conformance/src/rules/retry_after.rs
@@ -1,5 +1,5 @@
-//! Rule 6: after a rejection with a Retry-After, a courier makes no call to the same limit until it has
-//! expired.
+//! Rule 6: after a rejection with a Retry-After, a courier makes no call to the same limit until the
+//! Retry-After has expired.
 
 use super::millis;
 use crate::invariants::Invariants;
@@ -9,8 +9,8 @@
 
 const RULE: &str = "6 told waits are heeded";
 
-/// The scope of a Retry-After: the calls of one courier to one destination, or to one independent route of
-/// it.
+/// The scope of a Retry-After: the calls of one courier to one destination or, if the endpoint is an
+/// independent route, to that route.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LimitedSender {
     sender: CourierIncarnation,
--- a/crates/conformance/src/rules/single_effect.rs
+++ b/crates/conformance/src/rules/single_effect.rs
@@ -69,8 +69,8 @@
         });
     }
 
-    /// Checks that a message that its client submitted again was not sent after the deduplication window of
-    /// the first attempt, by whichever courier. Applies only where all endpoints share their keys.
+    /// Checks a message that its client submitted more than once: no courier may have sent it after the
+    /// deduplication window of the first attempt. Applies only where all endpoints share their keys.
     fn check_window_across_couriers(
         &self,
         result: &mut InvariantResult,
@@ -93,8 +93,8 @@
         });
     }
 
-    /// Checks that each courier sent the message only where and while its key was recognized, counted from
-    /// the courier's own first attempt.
+    /// Checks that each courier sent the message only within the deduplication window of the courier's own
+    /// first attempt and, if only the endpoints of a zone share their keys, only in the zone of that attempt.
     fn check_attempts_of_each_courier(
         &self,
         result: &mut InvariantResult,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Returns the attempts that the courier made before the message was submitted again.
+    /// Returns the attempts that the submission's courier sent from the submission until `next_submission`.
     fn attempts_of(&self, submission: &Submission, next_submission: Time) -> Vec<&Arrival> {
         let by_recipient = |arrival: &&Arrival| {
             let sent = arrival.sent();
--- a/crates/conformance/src/summary.rs
+++ b/crates/conformance/src/summary.rs
@@ -18,7 +18,7 @@
     pub(crate) classes: Vec<ClassSummary>,
     /// Delivered weight divided by requested weight.
     pub(crate) overall: f64,
-    /// The lowest value of this ratio in any interval of [`INTERVAL_LENGTH`].
+    /// The lowest ratio of delivered to requested weight in any interval of [`INTERVAL_LENGTH`], at most 1.
     pub(crate) worst_interval: f64,
 }
 
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -25,9 +25,9 @@
     pub core: Option<Core>,
     /// Options of the courier, which is created when the first settings arrive.
     pub start_options: StartOptions,
-    /// Saved settings that take effect at the next start, if they differ from those in force.
+    /// Saved settings that take effect at the next start; `None` if the settings in force stay in force.
     pub next_settings: Option<Settings>,
-    /// The settings of telemetry. Without them nothing is counted or reported.
+    /// The settings of telemetry, or `None` if there are none: then nothing is counted or reported.
     pub telemetry: Option<Telemetry>,
     /// Whether there is a state directory, in which counters survive a restart. Reports to Graphite and
     /// collectd require it.
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -171,8 +171,9 @@
         self.delivery.set_clock(self.clock.now());
     }
 
-    /// Sets the wall clock, in nanoseconds since 1970, as of the last reading of [`Core::clock`]. It may go
-    /// back: a reading is only compared with the timestamps of records that are read before the next reading.
+    /// Sets the wall clock, in nanoseconds since 1970, as of the last reading of [`Core::clock`]. The wall
+    /// clock may go back: a reading is only compared with the timestamps of records that are read before the
+    /// next reading.
     pub fn wall_clock(&mut self, wall: Time) {
         self.clock.set_wall(wall);
     }
--- a/crates/edge/src/core/clients.rs
+++ b/crates/edge/src/core/clients.rs
@@ -1,8 +1,8 @@
 //! Client connections: received frames, pipelined requests and their responses, and backpressure.
 //!
 //! Kafka clients pipeline requests, and the responses of a connection are sent in the order of its requests.
-//! A request without a response therefore holds back those behind it (head-of-line blocking). This module
-//! owns responses until they are sent. It never decides on the final answer of a message.
+//! A request without a response therefore holds back the responses to later requests (head-of-line blocking).
+//! This module owns responses until they are sent. It never decides on the final answer of a message.
 
 mod connection;
 mod pending;
--- a/crates/edge/src/core/delivery/responses.rs
+++ b/crates/edge/src/core/delivery/responses.rs
@@ -52,9 +52,9 @@
         Ok(FrameProgress::Processed)
     }
 
-    /// Handles the response to the version request and writes the waiting calls. Each message is checked
-    /// again before that: while the connection was being established the message may have been completed, its
-    /// endpoint may have begun to drain, and a Retry-After may have arrived.
+    /// Handles the response to the version request and writes the waiting calls. Before a call is written,
+    /// each of its messages is checked again: while the connection was being established the message may have
+    /// been completed, its endpoint may have begun to drain, and a Retry-After may have arrived.
     fn receive_versions(
         &mut self,
         id: UpstreamId,
--- a/crates/edge/src/core/in_flight.rs
+++ b/crates/edge/src/core/in_flight.rs
@@ -128,8 +128,8 @@
         number
     }
 
-    /// Completes a message that has its final answer or needs none. It stays in the table until its last
-    /// attempt has finished.
+    /// Completes a message that has its final answer or needs none. The message stays in the table until its
+    /// last attempt has finished.
     pub(crate) fn complete(&mut self, number: u32) {
         let in_flight = self.messages.get_mut(&number).filter(|in_flight| !in_flight.completed);
         let Some(in_flight) = in_flight else { return };
--- a/crates/edge/src/settings/documents/limits.rs
+++ b/crates/edge/src/settings/documents/limits.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Allow {
-    /// Whether it may cancel an attempt in flight.
+    /// Whether the courier may cancel an attempt in flight.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
     /// Whether a message may have two attempts in flight at once (hedged requests).
@@ -102,7 +102,8 @@
     /// Idle time after which a connection is closed, in milliseconds.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: u64,
-    /// Time within which a connection must be established, in milliseconds. Otherwise it has failed.
+    /// Time within which a connection must be established, in milliseconds. A connection that takes longer
+    /// has failed.
     pub connect_timeout_ms: u64,
 }
 
@@ -112,7 +113,8 @@
     }
 }
 
-/// How far clocks of clients are trusted. They determine the age of a message when it arrives.
+/// How far clocks of clients are trusted. The clock of a client determines the age of a message when it
+/// arrives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClocksDoc {
--- a/crates/edge/src/settings/documents/rules.rs
+++ b/crates/edge/src/settings/documents/rules.rs
@@ -17,8 +17,8 @@
     /// Time after an outage until a destination has its full capacity again, in milliseconds.
     #[serde(rename = "warm_after_ms")]
     pub slow_start_ms: u64,
-    /// Multiple of its present capacity above which the call rate makes a destination fail again after an
-    /// outage.
+    /// After an outage, a destination fails again if its call rate exceeds this multiple of its present
+    /// capacity for `overload_window_ms`.
     #[serde(rename = "fall_multiple")]
     pub overload_ratio: f64,
     /// How long such an overload must last to make the destination fail, in milliseconds.
--- a/crates/edge/src/shell/events.rs
+++ b/crates/edge/src/shell/events.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Handles a connection that closed after the operating system had accepted `written` bytes for it. The
-    /// core concludes from them which attempts were sent.
+    /// Handles a connection that closed after the operating system had accepted `written` bytes for it. From
+    /// this number the core concludes which attempts were sent.
     fn closed(&mut self, token: Token, written: u64) {
         self.graphite_disconnected(token);
         match (self.roles.get(&token), &mut self.program.core) {
--- a/crates/edge/tests/core/harness.rs
+++ b/crates/edge/tests/core/harness.rs
@@ -30,7 +30,7 @@
 /// A core with virtual time, clients and endpoints.
 pub struct CoreHarness {
     pub core: Core,
-    /// The monotonic clock, in nanoseconds.
+    /// The reading of the monotonic clock that the core is given, in nanoseconds.
     pub now: u64,
     pub connections: BTreeMap<UpstreamId, UpstreamConnection>,
     /// The connections that the core has requested and that are neither established nor failed, oldest first.
@@ -39,7 +39,7 @@
     pub calls: Vec<Call>,
     /// The Produce responses that each client has received.
     pub responses: BTreeMap<ClientId, Vec<ProduceReply>>,
-    /// When each of them was received.
+    /// When each response in `responses` was received, by the monotonic clock in nanoseconds.
     pub response_times: BTreeMap<ClientId, Vec<u64>>,
     /// The byte stream that each client has received, split into frames.
     frames: BTreeMap<ClientId, Frames>,
@@ -56,7 +56,7 @@
 }
 
 impl CoreHarness {
-    /// A harness whose endpoint list has endpoints 10 and 11 for destination 1 (kind `large`), 20 for
+    /// Creates a harness whose endpoint list has endpoints 10 and 11 for destination 1 (kind `large`), 20 for
     /// destination 2 (`small`), and 30 for destination 3 (`batch`).
     pub fn new() -> CoreHarness {
         CoreHarness::start(&settings(), 1)
@@ -128,7 +128,8 @@
         self.carry_out();
     }
 
-    /// Advances the clock by one tick and runs an iteration, so that its events are decided on.
+    /// Advances the clock by one tick and runs an iteration, so that the decision policy takes all events so
+    /// far.
     pub fn process_after_tick(&mut self) {
         self.now += MS;
         self.process();
@@ -228,9 +229,9 @@
 /// The result of a partition in a Produce response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionCode {
-    /// The correlation id of the request.
+    /// The correlation id of the Produce request.
     pub correlation: i32,
-    /// The error code.
+    /// The error code of the partition.
     pub code: i16,
 }
 
--- a/crates/edge/tests/core/harness/upstream.rs
+++ b/crates/edge/tests/core/harness/upstream.rs
@@ -12,9 +12,9 @@
 pub struct UpstreamConnection {
     endpoint: u32,
     frames: Frames,
-    /// How many bytes the core has written to it.
+    /// How many bytes the core has written to the connection.
     pub received_bytes: u64,
-    /// Whether it is established.
+    /// Whether the connection is established.
     pub connected: bool,
 }
 
@@ -33,7 +33,7 @@
 pub struct CallPart {
     topic: String,
     partition: i32,
-    /// The values of its records.
+    /// The values of the records for the partition.
     pub values: Vec<String>,
 }
 
@@ -51,13 +51,13 @@
     pub endpoint: u32,
     pub correlation: i32,
     version: i16,
-    /// By the monotonic clock, in nanoseconds.
+    /// When the endpoint received the call, by the monotonic clock in nanoseconds.
     pub received_at: u64,
     pub parts: Vec<CallPart>,
 }
 
 impl Call {
-    /// Returns the values of its records.
+    /// Returns the values of the call's records.
     pub fn values(&self) -> impl Iterator<Item = &String> {
         self.parts.iter().flat_map(|part| &part.values)
     }
--- a/crates/edge/tests/core/random/model.rs
+++ b/crates/edge/tests/core/random/model.rs
@@ -19,7 +19,7 @@
 pub const ORDERED_CLASS: usize = 1;
 /// The class whose messages are not idempotent.
 const NOT_IDEMPOTENT_CLASS: usize = 2;
-/// The attempts that the settings permit for a message.
+/// The maximum number of attempts per message in the settings.
 const MAX_ATTEMPTS: usize = 6;
 
 pub const ENDPOINTS: [KnownEndpoint; 4] = [
@@ -59,9 +59,9 @@
 /// A Produce request without a response.
 #[derive(Clone, Debug)]
 pub struct WaitingRequest {
-    /// Its correlation id.
+    /// The correlation id of the request.
     pub number: i32,
-    /// The deadline of its messages, by the monotonic clock in nanoseconds.
+    /// The deadline of the request's messages, by the monotonic clock in nanoseconds.
     pub deadline: u64,
     pub names: Vec<String>,
 }
@@ -72,20 +72,20 @@
     pub class: usize,
     pub key: Option<String>,
     pub deadline: u64,
-    /// Its position in the order in which messages were sent.
+    /// The position of the message in the order in which messages were sent.
     pub order: usize,
-    /// Whether the response to its request was received.
+    /// Whether the response to the message's request was received.
     pub answered: bool,
-    /// Whether it has its final answer, although the response may still wait for other records of its
+    /// Whether the message has its final answer. The response may still wait for other records of the
     /// request.
     pub completed: bool,
-    /// Whether it was accepted. Only accepted messages count for the order of a key.
+    /// Whether the message was accepted. Only accepted messages count for the order of a key.
     pub accepted: bool,
-    /// How many of its attempts may have been executed.
+    /// How many attempts of the message may have been executed.
     pub possible_executions: usize,
-    /// How many attempts endpoints have received.
+    /// How many attempts of the message endpoints have received.
     pub attempts: usize,
-    /// Whether its client has disconnected.
+    /// Whether the client of the message has disconnected.
     pub client_disconnected: bool,
 }
 
@@ -97,11 +97,11 @@
     pub waiting: BTreeMap<u64, Vec<WaitingRequest>>,
     /// The calls without a response.
     pub calls_in_flight: BTreeMap<CallKey, CallInFlight>,
-    /// Until when a Retry-After blocks a limit.
+    /// Until when a Retry-After blocks a limit, by the monotonic clock in nanoseconds.
     pub blocked_until: BTreeMap<LimitKey, u64>,
     /// The endpoints that are ready.
     pub ready: BTreeSet<u32>,
-    /// The calls that were checked.
+    /// The calls that were checked, each of which is checked only once.
     pub seen_calls: BTreeSet<CallKey>,
     /// How many responses were checked, by client.
     pub checked_responses: BTreeMap<u64, usize>,
@@ -113,7 +113,7 @@
     pub half_closed: BTreeSet<u64>,
 }
 
-/// What is certain about the calls without a response on a connection that was closed.
+/// Whether the calls without a response on a closed connection may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnansweredCalls {
     NotExecuted,
--- a/crates/edge/tests/core/random/step.rs
+++ b/crates/edge/tests/core/random/step.rs
@@ -14,8 +14,8 @@
         code: u8,
         retry_after_ms: u16,
     },
-    /// Closes a connection after the operating system accepted no byte, all but one, or all of them (`read` 0
-    /// to 2).
+    /// Closes a connection after the operating system has accepted none of the written bytes (`read` 0), all
+    /// but one (1) or all of them (2).
     Disconnect {
         connection: Index,
         read: u8,
--- a/crates/edge/tests/process/courier.rs
+++ b/crates/edge/tests/process/courier.rs
@@ -120,7 +120,7 @@
         (0..3).for_each(|_| self.wait_until_ready());
     }
 
-    // ---- Its files
+    // ---- Files of the process
 
     /// Returns how often this log message was written with these fields, by the current process and its
     /// predecessors.
--- a/crates/edge/tests/process/peer.rs
+++ b/crates/edge/tests/process/peer.rs
@@ -173,9 +173,9 @@
 /// A request that was served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServedRequest {
-    /// The index of its connection.
+    /// The index of the connection that carried the request, in the `peers` of [`serve_next_request`].
     pub connection: usize,
-    /// Its message id.
+    /// The message id of the request or, if it has none, its body.
     pub id: String,
 }
 
--- a/crates/edge/tests/process/stubs.rs
+++ b/crates/edge/tests/process/stubs.rs
@@ -22,12 +22,13 @@
 }
 
 impl Stub {
-    /// Returns the id or body of each request so far.
+    /// Returns the requests so far, in the order of their arrival: each by its message id or, without one,
+    /// its body.
     pub fn requests(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// Returns how many requests have this text in their id or body.
+    /// Returns how many requests contain this text in their message id or, without one, their body.
     pub fn count_matching(&self, text: &str) -> usize {
         self.requests().iter().filter(|request| request.contains(text)).count()
     }
--- a/crates/edge/tests/soak/checks.rs
+++ b/crates/edge/tests/soak/checks.rs
@@ -214,8 +214,9 @@
     downtime.from <= submission.answered_at && submission.sent_at <= downtime.until
 }
 
-/// Checks the order of the messages of each key, which its client submits one after another: a message may
-/// be sent only once the one before it is completed, and not after the next one was sent.
+/// Checks the order of accepted messages with the same key, which one client submits one after another. A
+/// message may be sent only once the message before it is completed. After the first call of a message, the
+/// message before it may not be sent again.
 fn check_order(observations: &Observations, by_message: &ByMessage, violations: &mut Vec<String>) {
     let mut by_key: BTreeMap<&str, Vec<&Submission>> = BTreeMap::new();
     for submission in &observations.submissions {
--- a/crates/edge/tests/soak/clients.rs
+++ b/crates/edge/tests/soak/clients.rs
@@ -29,14 +29,14 @@
 pub struct Submission {
     pub id: String,
     pub class: &'static str,
-    /// The ordering key, if any.
+    /// The ordering key, or `None` if the message has none.
     pub key: Option<String>,
     pub sent_at: Instant,
     pub answered_at: Instant,
     /// Time from `sent_at` to the message's deadline.
     pub time_to_deadline: Duration,
     pub answer: Answer,
-    /// Whether it was the first request on its connection.
+    /// Whether the message was the first request on its connection.
     pub on_new_connection: bool,
 }
 
--- a/crates/edge/tests/soak/endpoint.rs
+++ b/crates/edge/tests/soak/endpoint.rs
@@ -47,7 +47,7 @@
     pub id: String,
     pub behaviour: Behaviour,
     pub arrived_at: Instant,
-    /// When the endpoint wrote its answer that the message was served, if it did.
+    /// When the endpoint wrote the answer that the message was served, or `None` if it did not.
     pub served_at: Option<Instant>,
 }
 
@@ -94,7 +94,8 @@
     }
 }
 
-/// Answers the call at `index` of the log. Returns whether the connection stays open.
+/// Answers the call at `index` of `log` according to `behaviour`, and records in the log when the call was
+/// served. Returns whether the connection stays open.
 fn answer(
     stream: &mut TcpStream,
     behaviour: Behaviour,
--- a/crates/kafka/src/client/request.rs
+++ b/crates/kafka/src/client/request.rs
@@ -63,7 +63,10 @@
     pub timeout_ms: i32,
 }
 
-/// Encodes a Produce request.
+/// Encodes a Produce request. Consecutive targets of one topic share one entry.
+///
+/// # Errors
+/// Fails if a value cannot be encoded in this version, or the frame would be longer than `i32::MAX` bytes.
 pub fn produce(
     correlation: i32,
     client: &str,
@@ -98,6 +101,9 @@
 }
 
 /// Encodes an ApiVersions request.
+///
+/// # Errors
+/// Fails if a value cannot be encoded in this version.
 pub fn api_versions(correlation: i32, client: &str, version: i16) -> Result<Bytes, Malformed> {
     let mut body = ApiVersionsRequest::default();
     if version >= SOFTWARE_NAME_SINCE {
@@ -109,6 +115,9 @@
 }
 
 /// Encodes a Metadata request for the given topics, or for all topics if `topics` is `None`.
+///
+/// # Errors
+/// Fails if a value cannot be encoded in this version, or the frame would be longer than `i32::MAX` bytes.
 pub fn metadata(
     correlation: i32,
     client: &str,
--- a/crates/kafka/src/client/response.rs
+++ b/crates/kafka/src/client/response.rs
@@ -12,7 +12,8 @@
 use kafka_protocol::messages::{ApiKey, MetadataResponse, ProduceResponse};
 use kafka_protocol::protocol::Decodable;
 
-/// Size of one API entry (key, first version, last version) in an ApiVersions response of version 0.
+/// Size of one API entry (key, first version, last version) in an ApiVersions response of version 0, in
+/// bytes.
 const API_VERSION_BYTES: usize = 6;
 
 /// A Produce response.
@@ -20,7 +21,7 @@
 pub struct ProduceReply {
     /// Correlation id of the request that the response answers.
     pub correlation: i32,
-    /// The results of the request's partitions.
+    /// The results of the partitions in the request.
     pub parts: Vec<PartitionResult>,
     /// Throttle time in milliseconds: how long the client should send no further requests.
     pub throttle_ms: i32,
@@ -55,7 +56,7 @@
 pub struct TopicMetadata {
     /// Name of the topic.
     pub name: String,
-    /// The error code, see [`codes`].
+    /// The error code of the topic, see [`codes`].
     pub code: i16,
     /// The topic's partitions.
     pub partitions: Vec<PartitionMetadata>,
@@ -66,7 +67,7 @@
 pub struct PartitionMetadata {
     /// Partition number.
     pub index: i32,
-    /// The error code, see [`codes`].
+    /// The error code of the partition, see [`codes`].
     pub code: i16,
     /// Node id of the partition's leader; -1 if it has none.
     pub leader: i32,
@@ -82,6 +83,9 @@
 }
 
 /// Returns the correlation id of the request that a response frame answers.
+///
+/// # Errors
+/// Fails if the frame is shorter than a correlation id.
 pub fn correlation_id(frame: &Bytes) -> Result<i32, Malformed> {
     read_correlation(&mut frame.clone())
 }
@@ -107,7 +111,7 @@
     Ok(ResponseBody { correlation, bytes })
 }
 
-/// Returns the length of the tagged fields at the start of `bytes`.
+/// Returns the length of the tagged fields at the start of `bytes`, in bytes.
 fn tagged_fields_length(bytes: &[u8]) -> Result<usize, Malformed> {
     let mut cursor = shape::Cursor::flexible(bytes);
     let count = cursor.uvarint()?;
@@ -116,6 +120,9 @@
 }
 
 /// Decodes a Produce response of this version.
+///
+/// # Errors
+/// Fails if the frame is not a well-formed response of this version.
 pub fn read_produced(frame: &Bytes, version: i16) -> Result<ProduceReply, Malformed> {
     let mut body = read_header(frame, ApiKey::Produce, version)?;
     shape::produce_response(&body.bytes, version)?;
@@ -156,6 +163,9 @@
 }
 
 /// Decodes a Metadata response of this version.
+///
+/// # Errors
+/// Fails if the frame is not a well-formed response of this version.
 pub fn read_metadata(frame: &Bytes, version: i16) -> Result<ClusterMetadata, Malformed> {
     let mut body = read_header(frame, ApiKey::Metadata, version)?;
     shape::metadata_response(&body.bytes, version)?;
@@ -187,6 +197,9 @@
 }
 
 /// Reads the offered versions of Produce from an ApiVersions response of version 0.
+///
+/// # Errors
+/// Fails if the response has an error code or is not well-formed.
 pub fn read_produce_versions(frame: &Bytes) -> Result<ProduceVersions, Malformed> {
     let mut cursor = shape::Cursor::new(frame);
     let correlation = cursor.i32()?;
--- a/crates/kafka/src/frame.rs
+++ b/crates/kafka/src/frame.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Size of the length prefix of each frame.
+/// Size of the length prefix of each frame, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// An invalid length prefix.
@@ -42,6 +42,9 @@
 
     /// Removes and returns the next complete frame without its length prefix, or `None` while it is
     /// incomplete.
+    ///
+    /// # Errors
+    /// Fails if the length prefix is negative or exceeds the maximum. The caller must close the connection.
     pub fn next_frame(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(prefix) = self.buffered.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
         let length = i32::from_be_bytes(*prefix);
@@ -84,7 +87,7 @@
         &mut self.buffer
     }
 
-    /// Returns the length of the frame so far, not counting the length prefix.
+    /// Returns the length of the frame so far in bytes, not counting the length prefix.
     pub(crate) fn length(&self) -> usize {
         self.buffer.len() - LENGTH_PREFIX_BYTES
     }
--- a/crates/kafka/src/server/request.rs
+++ b/crates/kafka/src/server/request.rs
@@ -10,7 +10,7 @@
 use kafka_protocol::messages::{fetch_request, FetchRequest, MetadataRequest, ProduceRequest, RequestHeader};
 use kafka_protocol::protocol::Decodable;
 
-/// Size of the fixed part of a request header: API key, API version and correlation id.
+/// Size of the fixed part of a request header (API key, API version and correlation id), in bytes.
 const FIXED_HEADER_BYTES: usize = 8;
 /// Version of the ApiVersions response to a request in a newer version than the offered ones.
 const FALLBACK_API_VERSIONS: i16 = 0;
@@ -20,7 +20,7 @@
 pub struct Request {
     /// Correlation id of the request; the response repeats it.
     pub correlation: i32,
-    /// Client id, if the client sent one.
+    /// Client id, or `None` if the client sent none.
     pub client: Option<String>,
     /// The version in which the response must be encoded.
     pub version: i16,
@@ -96,7 +96,11 @@
     },
 }
 
-/// Decodes a request frame without its length prefix. After an error the caller must close the connection.
+/// Decodes a request frame without its length prefix.
+///
+/// # Errors
+/// Fails if the frame is malformed, or the API or the requested version is not offered. The caller must close
+/// the connection.
 pub fn read(frame: &Bytes) -> Result<Request, RequestError> {
     let mut cursor = shape::Cursor::new(frame);
     let api_code = cursor.i16()?;
--- a/crates/kafka/src/server/response.rs
+++ b/crates/kafka/src/server/response.rs
@@ -176,13 +176,13 @@
     pub topic: String,
     /// Partition number.
     pub partition: i32,
-    /// The error code, see [`codes`].
+    /// The error code of the partition, see [`codes`].
     pub code: i16,
     /// Offset of the first record; -1 if no record was accepted.
     pub offset: i64,
     /// Outcomes of single records if they differ, and reasons for invalid ones.
     pub record_errors: Vec<RecordError>,
-    /// Error message of the partition.
+    /// Error message of the partition, or `None` for no message.
     pub text: Option<String>,
 }
 
--- a/crates/kafka/src/shape.rs
+++ b/crates/kafka/src/shape.rs
@@ -21,7 +21,7 @@
 const PRODUCE_FLEXIBLE_SINCE: i16 = 9;
 const METADATA_FLEXIBLE_SINCE: i16 = 9;
 const API_VERSIONS_FLEXIBLE_SINCE: i16 = 3;
-/// Size of a topic id, which is a UUID.
+/// Size of a topic id, which is a UUID, in bytes.
 const UUID_BYTES: usize = 16;
 
 /// The result of walking over a part of a message: an error if a length or count exceeds the remaining bytes.
--- a/crates/kafka/src/shape/batch.rs
+++ b/crates/kafka/src/shape/batch.rs
@@ -8,12 +8,12 @@
 /// The codec of an uncompressed batch.
 pub(crate) const NO_COMPRESSION: u8 = 0;
 
-/// Size of the base offset (8 bytes) and the length field (4 bytes) of a batch, which the length field does
-/// not count.
+/// Size of the base offset (8 bytes) and the length field (4 bytes) of a batch. The value of the length field
+/// does not include them.
 const UNCOUNTED_PREFIX_BYTES: usize = 12;
 /// The attribute bits that hold the codec of a batch.
 const CODEC_MASK: i16 = 0x07;
-/// The attribute bits of a transactional batch and of a control batch.
+/// The attribute bits that mark a batch as transactional and as a control batch.
 const TRANSACTIONAL_MASK: i16 = 0x30;
 
 /// The header of a record batch.
@@ -21,7 +21,8 @@
 pub struct BatchHead {
     /// Size of the complete batch in bytes.
     pub size: usize,
-    /// Batch format, the magic byte. Other fields are not read if it is not 2.
+    /// Batch format, the magic byte. If it is not 2, the fields after it are not read and have default
+    /// values.
     pub magic: u8,
     /// Compression codec of the records; 0 for none.
     pub codec: u8,
@@ -40,6 +41,10 @@
 
 /// Reads the header of the batch at the start of `bytes`, and validates its records if they are not
 /// compressed.
+///
+/// # Errors
+/// Fails if the header or an uncompressed record is malformed, or the offset or timestamp of a record
+/// overflows.
 pub fn batch(bytes: &[u8]) -> Result<BatchHead, Malformed> {
     let mut cursor = Cursor::new(bytes);
     let base_offset = cursor.i64()?;
--- a/crates/kafka/src/shape/cursor.rs
+++ b/crates/kafka/src/shape/cursor.rs
@@ -48,14 +48,14 @@
         self.unread.len()
     }
 
-    /// Reads the next `count` bytes.
+    /// Reads the next `count` bytes. Fails if fewer remain.
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
         let (bytes, unread) = self.unread.split_at_checked(count).ok_or(Malformed("length"))?;
         self.unread = unread;
         Ok(bytes)
     }
 
-    /// Reads the next `N` bytes as an array.
+    /// Reads the next `N` bytes as an array. Fails if fewer remain.
     pub fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
         let mut array = [0; N];
         array.copy_from_slice(self.take(N)?);
--- a/crates/kafka/src/versions.rs
+++ b/crates/kafka/src/versions.rs
@@ -12,7 +12,7 @@
 }
 
 impl VersionRange {
-    /// Whether the range includes this version.
+    /// Returns whether the range includes this version.
     pub fn contains(self, version: i16) -> bool {
         (self.first..=self.last).contains(&version)
     }
