--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct Core {
     settings: Settings,
-    /// Whether and how often a message of each class may be executed; the index is the class number.
+    /// Whether a message of each class may be executed more than once; the index is the class number.
     idempotency: Vec<Idempotency>,
     /// This courier as the only broker that Metadata responses list.
     broker: Broker,
--- a/crates/edge/src/core/delivery/calls.rs
+++ b/crates/edge/src/core/delivery/calls.rs
@@ -23,8 +23,8 @@
     /// The messages whose attempts have no outcome yet. Empty in an abandoned call: every attempt has its
     /// outcome, but the response is still outstanding.
     pub(super) messages: Vec<OutgoingMessage>,
-    /// The attempt of the call that finished last. A Retry-After that arrives after it is reported under this
-    /// attempt.
+    /// The attempt of the call that finished last. A rejection that arrives after the call was abandoned is
+    /// reported under this attempt.
     pub(super) last_finished: AttemptId,
     /// The position of the call's first byte in the byte stream of the connection; `None` until the call has
     /// been written.
--- a/crates/edge/src/counter_files/load.rs
+++ b/crates/edge/src/counter_files/load.rs
@@ -44,8 +44,8 @@
 /// Loads the counters of a state directory, which is created if it does not exist.
 ///
 /// # Errors
-/// Fails if the directory or a file in it cannot be read, or a damaged snapshot cannot be renamed. Damage
-/// itself is no error; it is reported in [`LoadedCounters::damaged`].
+/// Fails if the directory cannot be created, the directory or a file in it cannot be read, or a damaged
+/// snapshot cannot be renamed. Damage itself is no error; it is reported in [`LoadedCounters::damaged`].
 pub fn load(dir: &Path) -> io::Result<LoadedCounters> {
     fs::create_dir_all(dir)?;
     let (snapshot, damaged) = match load_snapshot(dir)? {
--- a/crates/edge/src/shell/telemetry_log.rs
+++ b/crates/edge/src/shell/telemetry_log.rs
@@ -2,7 +2,7 @@
 
 use linnetcart_telemetry::LogEvent;
 
-/// Logs an event.
+/// Logs a telemetry event in one line, or host notifications in one line each.
 pub(super) fn log_event(event: &LogEvent) {
     match event {
         LogEvent::ClockSetBack { timestamps_ahead_s } => {
