--- a/crates/conformance/src/rules/final_answer.rs
+++ b/crates/conformance/src/rules/final_answer.rs
@@ -14,7 +14,8 @@
 const CONNECTION_TRIPS: u64 = 3;
 
 /// Checks that the client received exactly one answer to each submission, no later than [`answer_deadline`],
-/// and that the courier did not send the message after that answer.
+/// and that the courier did not send the message later than `timing_tolerance` after the first answer. A
+/// submission without an answer whose courier died or whose connection broke is not checked.
 pub(crate) fn check(records: &Records, invariants: &Invariants, index: &RecordIndex<'_>) -> InvariantResult {
     let mut result = InvariantResult::new(RULE);
     for submission in &records.submissions {
