--- a/crates/telemetry/src/classes.rs
+++ b/crates/telemetry/src/classes.rs
@@ -23,7 +23,7 @@
     /// Name in series, safe for paths.
     series_name: String,
     class: Class,
-    /// Latencies of served messages since the last report.
+    /// Latencies, from acceptance to final answer, of the messages served since the last report.
     latency: LatencyRecorder,
 }
 
@@ -56,25 +56,27 @@
         self.classes.get(class).map(|entry| entry.series_name.as_str())
     }
 
-    /// Returns the full priority weight of a message of the class, in thousandths.
+    /// Returns the full priority weight of a message of the class, in thousandths; 0 for a number without a
+    /// class.
     pub(crate) fn weight_milli(&self, class: u8) -> u64 {
         self.weight_milli_after(class, 0)
     }
 
-    /// Returns the priority weight that remains of a message served `elapsed` after its acceptance, in
-    /// thousandths: between 0 and the full weight, see [`Class::weight_at`].
+    /// Returns the priority weight, in thousandths, of a message served `elapsed` nanoseconds after it was
+    /// accepted: between 0 and the full weight, see [`Class::weight_at`]; 0 for a number without a class.
     pub(crate) fn weight_milli_after(&self, class: u8, elapsed: Time) -> u64 {
         let Some(ClassEntry { class, .. }) = self.classes.get(usize::from(class)) else { return 0 };
         let weight = class.weight_at(elapsed, self.weight_halves);
         (weight.clamp(0.0, class.priority_weight) * THOUSANDTHS).round() as u64
     }
 
-    /// Whether a message served after `elapsed` met the latency objective of its class.
+    /// Whether a message served `elapsed` nanoseconds after it was accepted met the latency objective of the
+    /// class; false for a number without a class.
     pub(crate) fn is_within_objective(&self, class: u8, elapsed: Time) -> bool {
         self.classes.get(usize::from(class)).is_some_and(|entry| elapsed <= entry.class.latency_objective)
     }
 
-    /// Records the latency of a served message.
+    /// Records the latency of a served message: `elapsed` nanoseconds from acceptance to final answer.
     pub(crate) fn record_latency(&mut self, class: u8, elapsed: Time) {
         if let Some(entry) = self.classes.get_mut(usize::from(class)) {
             entry.latency.record(elapsed);
--- a/crates/telemetry/src/collectd.rs
+++ b/crates/telemetry/src/collectd.rs
@@ -1,8 +1,8 @@
 //! collectd's binary network protocol: packets of type-length-value parts, plain, signed or encrypted.
 //!
 //! A part consists of its type, its length including these four bytes (both big-endian `u16`) and its
-//! content. Strings end with a zero byte. A part applies to all items after it until another part of its
-//! type. This module encodes and decodes packets; it never sends or receives them.
+//! content. Strings end with a zero byte. A part applies to all following items, until a later part of that
+//! type replaces it. This module encodes and decodes packets; it never sends or receives them.
 
 mod decode;
 mod encode;
@@ -76,13 +76,13 @@
 /// Identifier and time of a list of values or of a notification.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ItemHeader {
-    /// Name of the host.
+    /// Name of the host that the values or the notification describe.
     pub host: String,
     /// Timestamp, in units of 2^-30 seconds since 1970.
     pub time: u64,
-    /// Interval between two reports, in the same units.
+    /// Interval between two reports, in units of 2^-30 seconds.
     pub interval: u64,
-    /// Name of the plugin.
+    /// Name of the collectd plugin that collected the values, such as `interface`.
     pub plugin: String,
     /// Instance of the plugin, such as the name of an interface.
     pub plugin_instance: String,
@@ -106,9 +106,9 @@
     Notification {
         /// Identifier and time of the notification.
         header: ItemHeader,
-        /// The severity as sent; see [`Severity`] for the values of the protocol.
+        /// The severity as sent, which may be invalid; see [`Severity`] for the values of the protocol.
         severity: u64,
-        /// The text.
+        /// The text that describes the event to an operator.
         text: String,
     },
 }
@@ -119,22 +119,22 @@
     /// A part is truncated, or its length is invalid.
     #[error("at byte {offset}: a part's length cannot be")]
     InvalidLength {
-        /// Offset of the part in the packet.
+        /// Byte offset of the part in the packet, or in the decrypted parts of an encrypted packet.
         offset: usize,
     },
     /// The content of a part is invalid.
     #[error("at byte {offset}: what the part holds cannot be")]
     InvalidContent {
-        /// Offset of the part in the packet.
+        /// Byte offset of the part in the packet, or in the decrypted parts of an encrypted packet.
         offset: usize,
     },
     /// A signature or an encrypted part is at a position where it is not allowed.
     #[error("at byte {offset}: parts are nested wrongly")]
     MisplacedSecurity {
-        /// Offset of the part in the packet.
+        /// Byte offset of the part in the packet, or in the decrypted parts of an encrypted packet.
         offset: usize,
     },
-    /// The signature or the checksum does not match.
+    /// The signature or the checksum does not match with any key of the user.
     #[error("signature, sum or key of user `{user}` is wrong")]
     NotAuthentic {
         /// The user named in the packet.
@@ -146,7 +146,7 @@
         /// The user named in the packet.
         user: String,
     },
-    /// The packet is less secure than required.
+    /// The packet is not signed or encrypted as [`Require`](crate::settings::Require) demands.
     #[error("the packet must be signed or encrypted")]
     InsufficientSecurity,
 }
--- a/crates/telemetry/src/connection.rs
+++ b/crates/telemetry/src/connection.rs
@@ -2,6 +2,7 @@
 //!
 //! [`ReceiverConnection`] owns no socket: its owner reports the events of a socket and polls for actions.
 //! Bytes that a receiver does not accept stay in the buffer until newer reports displace them, oldest first.
+//! Times are readings of the monotonic clock, and all durations are in nanoseconds.
 
 mod send_buffer;
 #[cfg(test)]
@@ -16,14 +17,14 @@
 use send_buffer::SendBuffer;
 use std::net::SocketAddr;
 
-/// Backoff after the first failure, in nanoseconds; each further failure doubles it up to the maximum.
+/// Backoff after the first failure, in nanoseconds; each further failure doubles it up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Time = SECOND;
 const MAX_BACKOFF: Time = 60 * SECOND;
 /// Jitter: a backoff is multiplied by a random factor in this range, so that couriers do not reconnect at the
 /// same time.
 const BACKOFF_JITTER: std::ops::Range<f64> = 0.5..1.5;
-/// Maximum number of bytes handed to the system and not yet written; a chunk that begins below it is handed
-/// over completely. Others stay in the buffer, where they can be dropped.
+/// A chunk is handed to the system only while fewer than this many bytes are handed over and not yet written.
+/// The last chunk may exceed it, since chunks are not split. Chunks not handed over can still be dropped.
 const MAX_UNWRITTEN_BYTES: u64 = 256 << 10;
 
 /// An action for the owner of a connection.
@@ -53,7 +54,7 @@
         retry_at: Time,
     },
     Connecting {
-        /// When the attempt was started.
+        /// When the connection attempt was started.
         since: Time,
     },
     Connected(Progress),
@@ -62,11 +63,11 @@
 /// Progress of writing on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Progress {
-    /// Bytes handed to the system on this connection.
+    /// Number of bytes handed to the system on this connection.
     handed_over: u64,
-    /// Of these, bytes written by the system.
+    /// Number of the bytes handed over that the system has written to the socket.
     written: u64,
-    /// When the system last wrote bytes or had none to write.
+    /// When the system last wrote bytes, or last had no bytes to write.
     last_progress: Time,
 }
 
@@ -86,8 +87,8 @@
 }
 
 impl ReceiverConnection {
-    /// Creates a connection that buffers at most `max_bytes` and is closed after `stuck_timeout` without
-    /// progress. The seed determines the jitter and should differ between couriers.
+    /// Creates a connection that buffers at most `max_bytes` and is closed after `stuck_timeout` nanoseconds
+    /// without progress. The seed determines the jitter and should differ between couriers.
     pub fn new(address: SocketAddr, max_bytes: usize, stuck_timeout: Time, seed: u64) -> ReceiverConnection {
         ReceiverConnection {
             address,
@@ -174,7 +175,7 @@
         actions
     }
 
-    /// Returns the time of the next action, or `None` if none is pending.
+    /// Returns the time at which [`Self::poll`] must be called next, or `None` if no timer is running.
     pub fn next_wakeup(&self) -> Option<Time> {
         match &self.state {
             ConnectionState::Disconnected { retry_at } => self.buffer.has_unsent().then_some(*retry_at),
--- a/crates/telemetry/src/connection/send_buffer.rs
+++ b/crates/telemetry/src/connection/send_buffer.rs
@@ -13,12 +13,14 @@
     /// Total size of all chunks in bytes, including those in flight.
     bytes: usize,
     max_bytes: usize,
+    /// Number of points in the chunks dropped since the buffer was created.
     points_dropped: u64,
 }
 
 #[derive(Debug)]
 struct UnsentChunk {
     bytes: Bytes,
+    /// Number of points encoded in the bytes.
     points: u32,
 }
 
@@ -78,8 +80,8 @@
         Some(bytes)
     }
 
-    /// Removes the chunks in flight that lie completely within the first `written` bytes of the byte stream;
-    /// returns whether there was any.
+    /// Removes the chunks in flight that lie completely within the first `written` bytes of the byte stream.
+    /// Returns whether any chunk was removed.
     pub(super) fn acknowledge(&mut self, written: u64) -> bool {
         let mut any_complete = false;
         while self.in_flight.front().is_some_and(|first| first.end <= written) {
--- a/crates/telemetry/src/counter_sync.rs
+++ b/crates/telemetry/src/counter_sync.rs
@@ -1,5 +1,5 @@
-//! Syncs of the counter log to disk. While they fail, counts are not reported, because they could fall after
-//! a power loss.
+//! Syncs of the counter log to disk. While syncs fail, counts are not reported, because a reported count that
+//! is not on disk would fall after a power loss.
 
 use crate::{LogEvent, Output, SyncError};
 
@@ -11,7 +11,7 @@
 pub(crate) struct CounterSync {
     /// Number of the last sync requested.
     last_number: u64,
-    /// Whether the last result was a failure.
+    /// Whether the last completed sync failed.
     is_failing: bool,
 }
 
--- a/crates/telemetry/src/counters.rs
+++ b/crates/telemetry/src/counters.rs
@@ -8,7 +8,7 @@
 use linnetcart::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Minimum time between two writes to the log of changes that no client's answer depends on, in nanoseconds.
+/// Interval, in nanoseconds, of appending changes that no client's answer waits for to the counter log.
 const LOG_INTERVAL: Time = SECOND / 10;
 /// The maximum number of series names is 2 * max(cells, `MIN_NAMED_CELLS`).
 const MIN_NAMED_CELLS: usize = 1000;
@@ -57,6 +57,7 @@
     unreported: BTreeSet<CounterKey>,
     /// Whether this iteration answers clients, so that its changes must be logged without delay.
     must_log: bool,
+    /// When [`Counters::log_if_due`] last appended changes, by the monotonic clock.
     last_logged: Time,
 }
 
@@ -100,7 +101,8 @@
         self.must_log = true;
     }
 
-    /// Logs changes if that is required or [`LOG_INTERVAL`] has elapsed.
+    /// Appends all changes so far to the counter log, if [`Self::require_log`] demands it or [`LOG_INTERVAL`]
+    /// has elapsed since this function last did so.
     pub(crate) fn log_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.must_log || self.last_logged + LOG_INTERVAL <= now {
             self.log_changes(outputs);
--- a/crates/telemetry/src/counts.rs
+++ b/crates/telemetry/src/counts.rs
@@ -38,7 +38,8 @@
         /// The route's endpoint.
         endpoint: u32,
     },
-    /// The reports themselves: points, receiver connections and host packets.
+    /// Losses of the reporting itself: points dropped, cells postponed, failed connections to Graphite and
+    /// rejected host packets.
     Reports,
 }
 
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Adds the counts of a snapshot.
+    /// Adds the counts of a snapshot to those of the store. Cells without a valid owner are ignored.
     pub fn restore(&mut self, saved: &Saved) {
         for cell in &saved.cells {
             let Some(owner) = cell.owner() else { continue };
--- a/crates/telemetry/src/counts/field.rs
+++ b/crates/telemetry/src/counts/field.rs
@@ -45,7 +45,8 @@
     AttemptTimeouts,
     /// Attempts whose connection was reset.
     ConnectionResets,
-    /// Attempts that had no connection or were not sent.
+    /// Attempts that the endpoint did not execute for lack of a connection, because they were not sent or the
+    /// endpoint reported so, or because of a fault of the courier's own machine.
     AttemptsNotSent,
     /// Priority weight of all messages, accepted or rejected, in thousandths.
     WeightOffered,
@@ -55,7 +56,7 @@
     WeightLate,
     /// Priority weight of messages not served, and the weight lost by serving late, in thousandths.
     WeightLost,
-    /// Points dropped from the send buffer because Graphite did not accept them in time.
+    /// Points dropped because the send buffer for Graphite was full.
     PointsDropped,
     /// Cells postponed to the next report because a report reached its maximum number of points.
     PointsPostponed,
@@ -65,7 +66,7 @@
     PacketsRejected,
 }
 
-/// Number of fields.
+/// Number of counted quantities: the variants of [`Field`], and so the counts in a [`Counts`].
 pub const FIELD_COUNT: usize = 25;
 
 impl Field {
--- a/crates/telemetry/src/counts/log.rs
+++ b/crates/telemetry/src/counts/log.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u32)", into = "(String, u32)")]
 pub struct AssignedSeriesName {
-    /// The destination's name in series.
+    /// The name by which series refer to the destination.
     pub name: String,
     /// The destination that owns the name.
     pub destination: u32,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Decodes the deltas in a body after its first byte; `None` if any of them is invalid.
+/// Decodes the deltas in a body, given without the leading [`DELTAS`] byte; `None` if any delta is invalid.
 pub(super) fn decode_deltas(mut body: &[u8]) -> Option<Vec<Delta>> {
     let mut deltas = Vec::new();
     while let Some((&first, unread)) = body.split_first() {
--- a/crates/telemetry/src/graphite.rs
+++ b/crates/telemetry/src/graphite.rs
@@ -33,16 +33,16 @@
 /// How points are named and encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Encoding {
-    /// Plaintext or pickle.
+    /// Format of the encoded points.
     pub form: Form,
-    /// Paths or tags in names.
+    /// Whether series names are dotted paths or tagged.
     pub names: NameStyle,
 }
 
 /// Encoded points, the unit in which the send buffer sends or drops.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// The encoded points.
+    /// The points in the format of the receiver.
     pub bytes: Vec<u8>,
     /// Number of points.
     pub points: u32,
--- a/crates/telemetry/src/host.rs
+++ b/crates/telemetry/src/host.rs
@@ -20,7 +20,7 @@
 const MAX_SERIES: usize = 4096;
 /// Maximum number of host names on the status page.
 const MAX_HOSTS: usize = 16;
-/// Maximum number of logged characters of a notification.
+/// Maximum number of characters of a notification's text that are kept for the log.
 const MAX_NOTIFICATION_CHARACTERS: usize = 200;
 /// Number of collectd's time units (2^-30 seconds) in a second.
 const UNITS_PER_SECOND: f64 = (1u64 << 30) as f64;
@@ -32,7 +32,7 @@
     pub host: String,
     /// The severity, as defined by collectd's protocol; see [`Severity`].
     pub severity: u64,
-    /// The text without control characters, truncated to a maximum length.
+    /// The text without control characters, truncated to 200 characters.
     pub text: String,
 }
 
@@ -125,8 +125,9 @@
         (!notifications.is_empty()).then_some(LogEvent::HostNotifications(notifications))
     }
 
-    /// Updates a series and the status. Values with a timestamp too far from the wall clock or not after the
-    /// last one of the series (replayed or reordered packets) are ignored and counted.
+    /// Updates a series and the status. A list of values is ignored and counted if its timestamp differs from
+    /// the wall clock by more than [`Listen::skew_s`], or is not after the last timestamp of the series
+    /// (replayed or reordered packets).
     fn accept_values(&mut self, header: ItemHeader, values: Vec<MetricValue>, wall: Time) {
         let key = SeriesKey::new(&header);
         let before = self.series.get(&key);
--- a/crates/telemetry/src/host/status.rs
+++ b/crates/telemetry/src/host/status.rs
@@ -11,7 +11,7 @@
 /// names of the fields are part of the status page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct HostStatus {
-    /// Names of the hosts that sent reports.
+    /// Names of the hosts whose values were accepted; at most the first 16.
     pub hosts: Vec<String>,
     /// Load averages; `None` until they are reported.
     pub load: Option<LoadAverages>,
@@ -21,20 +21,20 @@
     pub disks: BTreeMap<String, DiskRates>,
     /// Seconds since the last accepted packet; `None` before the first.
     pub age_s: Option<f64>,
-    /// Packets accepted.
+    /// Number of packets accepted since the listener was added to the settings.
     #[serde(rename = "good")]
     pub packets_accepted: u64,
-    /// Packets rejected.
+    /// Number of packets rejected since the listener was added to the settings.
     #[serde(rename = "bad")]
     pub packets_rejected: u64,
-    /// Why the last packet was rejected.
+    /// Why the last rejected packet was rejected; `None` if none was.
     #[serde(rename = "last_bad")]
     pub last_rejection: Option<String>,
-    /// Lists of values ignored because their timestamp was not after the previous one of their series, or too
-    /// far from the wall clock.
+    /// Number of lists of values that were ignored because their timestamp was not after the last one of the
+    /// series, or differed from the wall clock by more than the settings allow.
     #[serde(rename = "old")]
     pub values_outdated: u64,
-    /// Lists of values ignored because the maximum number of series was reached.
+    /// Number of lists of values that were ignored because the maximum number of series was reached.
     #[serde(rename = "beyond")]
     pub values_beyond_limit: u64,
 }
@@ -43,11 +43,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 3]")]
 pub struct LoadAverages {
-    /// Over one minute.
+    /// Load average over one minute.
     pub one_minute: f64,
-    /// Over five minutes.
+    /// Load average over five minutes.
     pub five_minutes: f64,
-    /// Over fifteen minutes.
+    /// Load average over fifteen minutes.
     pub fifteen_minutes: f64,
 }
 
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct LinkRates {
-    /// Received.
+    /// Bytes received per second.
     pub received: f64,
-    /// Sent.
+    /// Bytes sent per second.
     pub sent: f64,
 }
 
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct DiskRates {
-    /// Read.
+    /// Bytes read per second.
     pub read: f64,
-    /// Written.
+    /// Bytes written per second.
     pub written: f64,
 }
 
--- a/crates/telemetry/src/host_listener.rs
+++ b/crates/telemetry/src/host_listener.rs
@@ -15,6 +15,7 @@
     monitor: Option<HostMonitor>,
     /// Number of packets that the monitor had rejected at the last [`HostListener::take_rejections`].
     counted_rejections: u64,
+    /// When the host's metrics are logged next, by the monotonic clock.
     next_summary: Time,
 }
 
@@ -59,7 +60,8 @@
         rejections.saturating_sub(before)
     }
 
-    /// Logs the host's metrics if [`SUMMARY_INTERVAL`] has elapsed and a packet was ever accepted.
+    /// Logs the host's metrics once per [`SUMMARY_INTERVAL`]. Nothing is logged as long as no packet has been
+    /// accepted.
     pub(crate) fn log_summary_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.next_summary > now {
             return;
--- a/crates/telemetry/src/interface.rs
+++ b/crates/telemetry/src/interface.rs
@@ -38,7 +38,7 @@
 /// The stored state of an earlier run.
 #[derive(Debug, Default)]
 pub struct RestoredState {
-    /// The last snapshot.
+    /// The last snapshot of the counts; `None` if none was saved.
     pub saved: Option<Saved>,
     /// The counter logs begun since the snapshot, oldest first.
     pub logs: Vec<Vec<u8>>,
@@ -47,19 +47,19 @@
 /// Current values of the courier's gauges, which no delivery event carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CurrentState {
-    /// Messages in flight.
+    /// Number of messages in flight.
     pub messages_in_flight: usize,
-    /// Bytes of messages in flight.
+    /// Total size of the messages in flight, in bytes.
     pub bytes_in_flight: usize,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub calls_in_flight: usize,
-    /// Maximum number of calls in flight.
+    /// The limit on calls in flight, from the settings.
     pub max_calls_in_flight: usize,
-    /// Maximum number of messages in flight.
+    /// The limit on messages in flight, from the settings.
     pub max_messages_in_flight: usize,
-    /// Open connections of clients.
+    /// Number of open connections of clients.
     pub clients: usize,
-    /// Open connections to endpoints.
+    /// Number of open connections to endpoints.
     pub upstream_connections: usize,
 }
 
@@ -121,13 +121,13 @@
     pub graphite_connected: Option<bool>,
     /// Bytes in the send buffer of the Graphite receiver.
     pub graphite_waiting: usize,
-    /// Points dropped from that buffer since the receiver was configured.
+    /// Number of points dropped from the send buffer since the Graphite receiver was configured.
     pub dropped: u64,
     /// How far the timestamp of the last report was ahead of the wall clock, in seconds.
     #[serde(rename = "stamps_ahead_s")]
     pub timestamps_ahead_s: f64,
     /// Whether syncs of the counter log fail; counts are not reported meanwhile.
     pub counts_not_safe: bool,
-    /// Metrics of the host; `None` without a listener.
+    /// Metrics of the host, from its own collectd; `None` without a listener.
     pub host: Option<HostStatus>,
 }
--- a/crates/telemetry/src/limits.rs
+++ b/crates/telemetry/src/limits.rs
@@ -19,8 +19,8 @@
 const STATE_RECOVERING: f64 = 1.0;
 const STATE_EJECTED: f64 = 0.0;
 
-/// The observed limits of the destinations and independent routes in the endpoint list. Nothing is recorded
-/// for others.
+/// The observed limits of the destinations and independent routes in the endpoint list. Attempts to other
+/// destinations and routes are not recorded.
 #[derive(Debug, Default)]
 pub(crate) struct LimitTable {
     /// The endpoints of each listed destination.
@@ -91,8 +91,8 @@
         self.routes.get_mut(&endpoint)
     }
 
-    /// Returns the limits that an attempt counts against: that of the destination and, for an independent
-    /// route, that of the route.
+    /// Returns the limits that an attempt counts against: the limit of the destination and, if the endpoint
+    /// is an independent route, the limit of the route.
     pub(crate) fn of_attempt(
         &mut self,
         destination: u32,
@@ -108,9 +108,9 @@
         limits.into_iter().flatten()
     }
 
-    /// Records that the decision library changed the state of an endpoint's limit, which is that of its route
-    /// if it is independent, and that of its destination otherwise. Returns `None` if the reported state of
-    /// that limit stays the same.
+    /// Records that the decision library changed the state of the limit that applies to an endpoint: the
+    /// limit of the route if the endpoint is an independent route, otherwise the limit of the destination.
+    /// Returns `None` if the reported state of this limit does not change.
     pub(crate) fn change_state(
         &mut self,
         destination: u32,
@@ -132,20 +132,24 @@
 /// A limit as observed by this courier, with its attempts since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct ObservedLimit {
-    /// Attempts started, served and rejected since the last report.
+    /// Number of attempts started since the last report.
     attempts: u64,
+    /// Number of attempts served since the last report.
     served: u64,
+    /// Number of attempts rejected since the last report.
     rejected: u64,
-    /// Latencies of served attempts since the last report.
+    /// Latencies of the attempts served since the last report, from sending to the response.
     latency: LatencyRecorder,
-    /// The limit in the last load report, in calls per second; `None` if that report had no limit.
+    /// The limit in the last load report, in calls per second; `None` before the first load report or if the
+    /// last one had no limit.
     reported: Option<f64>,
-    /// The unused fraction of the limit in the last load report.
+    /// The unused fraction of the limit in the last load report; `None` before the first.
     capacity_left: Option<f64>,
-    /// The limit inferred from the rate of served attempts in intervals with rejections, in calls per second.
+    /// The limit inferred from the rate of served attempts in intervals with rejections, in calls per
+    /// second; `None` before the first such interval.
     inferred: Option<f64>,
     state: LimitState,
-    /// Endpoints reported as silent that have not served an attempt since.
+    /// Endpoints that were reported as silent and have not served an attempt since that report.
     silent_endpoints: BTreeSet<u32>,
 }
 
@@ -169,9 +173,9 @@
         self.reported = (load.rate_limit > 0.0).then_some(load.rate_limit);
     }
 
-    /// Changes the state of a limit with this number of endpoints and returns the new state, or `None` if it
-    /// stays the same. Silence ejects a limit only when all of its endpoints are silent: one silent endpoint
-    /// is not an outage of the destination.
+    /// Changes the state of a limit that `endpoints` endpoints share. Returns the new state, or `None` if the
+    /// state does not change. Silence ejects a limit only when all endpoints of the limit are silent: one
+    /// silent endpoint is not an outage of the destination.
     fn change_state(&mut self, endpoint: u32, endpoints: usize, state: LimitState) -> Option<LimitState> {
         let mut state = state;
         if state == LimitState::Silent {
--- a/crates/telemetry/src/log_event.rs
+++ b/crates/telemetry/src/log_event.rs
@@ -4,20 +4,20 @@
 use crate::host::{HostNotification, HostStatus};
 use crate::SyncError;
 
-/// An event for the log.
+/// A condition of the reporting, the counter log or the host that operators are told about.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// The wall clock was set back; timestamps advance slowly until it has caught up.
+    /// The wall clock was set back; report timestamps advance slowly until the wall clock has caught up.
     ClockSetBack {
-        /// How far timestamps are ahead of the wall clock, in seconds.
+        /// How far report timestamps are ahead of the wall clock, in seconds.
         timestamps_ahead_s: u64,
     },
-    /// The counter log is not on disk; counts are not reported until it is.
+    /// A sync of the counter log to disk failed; counts are not reported until a sync succeeds.
     CountsWithheld {
-        /// Why the counter log is not on disk.
+        /// Why the sync failed.
         reason: SyncError,
     },
-    /// The counter log is on disk again.
+    /// A sync of the counter log to disk succeeded after failures; counts are reported again.
     CountsReportedAgain,
     /// A packet of the host's collectd was rejected.
     HostPacketRejected {
@@ -26,6 +26,6 @@
     },
     /// The host's collectd sent notifications of faults.
     HostNotifications(Vec<HostNotification>),
-    /// The current metrics of the host.
+    /// The last metrics of the host, which are logged every minute.
     HostMetrics(HostStatus),
 }
--- a/crates/telemetry/src/names.rs
+++ b/crates/telemetry/src/names.rs
@@ -29,9 +29,9 @@
 /// The name of an owner in series.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AssignedName {
-    /// The name.
+    /// The name, safe for a path.
     pub name: String,
-    /// Whether this call assigned the name; the assignment must then be logged.
+    /// Whether this call of [`SeriesNames::assign`] assigned the name; the assignment must then be logged.
     pub newly_assigned: bool,
 }
 
--- a/crates/telemetry/src/points.rs
+++ b/crates/telemetry/src/points.rs
@@ -19,7 +19,8 @@
 }
 
 impl PointCollector<'_> {
-    /// Collects items until the slice or the part has its number of points, or no item is left.
+    /// Collects items until the slice has [`SLICE_POINTS`] points, the part has [`PART_POINTS`] points, or no
+    /// item is left. The points of the last item may exceed these numbers.
     pub(crate) fn collect_slice(&mut self, report: &mut Report) {
         let mut points = Vec::new();
         while points.len() < SLICE_POINTS && report.part.len() + points.len() < PART_POINTS {
--- a/crates/telemetry/src/report.rs
+++ b/crates/telemetry/src/report.rs
@@ -8,8 +8,8 @@
 /// Number of points that are collected or sent in one iteration of the event loop, which takes some tenths
 /// of a millisecond.
 pub(crate) const SLICE_POINTS: usize = 256;
-/// Number of points of a part: they are collected, the counter log is synced once for them, and they are
-/// sent. It bounds the points held in memory.
+/// Number of points of a part. The points of a part are collected, the counter log is synced once, and then
+/// the points are sent; the size of a part bounds the points held in memory.
 pub(crate) const PART_POINTS: usize = 8192;
 
 /// An item of a report, from which its points are collected.
@@ -17,13 +17,13 @@
 pub(crate) enum ReportItem {
     /// The courier's counts and gauges.
     Courier,
-    /// The counts of a class over all destinations, and its latencies.
+    /// The counts of a class, summed over all destinations, and the latencies of its messages.
     Class(usize),
     /// The limit and latencies of a destination.
     Destination(u32),
     /// The limit and latencies of an independent route, by its endpoint.
     Route(u32),
-    /// The counts of a destination over all classes.
+    /// The counts of a destination, summed over all classes.
     DestinationTotal(u32),
     /// The counts of a cell.
     Cell(CounterKey),
@@ -53,9 +53,9 @@
     Collecting,
     /// The counter log is being synced.
     Syncing {
-        /// Number of the sync.
+        /// Number of the sync, as in [`Output::Sync`](crate::Output::Sync).
         number: u64,
-        /// When the sync was requested.
+        /// When the sync was requested, by the monotonic clock.
         since: Time,
     },
     /// The points are being sent.
--- a/crates/telemetry/src/settings.rs
+++ b/crates/telemetry/src/settings.rs
@@ -27,11 +27,11 @@
     pub cells: usize,
     /// Names of destinations in series, by the destination's number.
     pub names: BTreeMap<u32, String>,
-    /// The Graphite receiver.
+    /// The Graphite receiver; `None` to send no reports to Graphite.
     pub graphite: Option<Graphite>,
-    /// The collectd receiver.
+    /// The collectd receiver; `None` to send no reports to collectd.
     pub collectd: Option<Collectd>,
-    /// The listener for reports of the host's own collectd.
+    /// The listener for reports of the host's own collectd; `None` for no listener.
     pub listen: Option<Listen>,
 }
 
@@ -153,8 +153,8 @@
     /// Secret keys by user; a user has several during key rotation.
     #[serde(default)]
     pub users: BTreeMap<String, Vec<String>>,
-    /// Maximum difference between the timestamp of a value and the wall clock, in seconds; values outside it
-    /// are ignored.
+    /// Maximum difference between the timestamp of a value and the wall clock, in seconds; values with a
+    /// larger difference are ignored.
     #[serde(default = "default_skew_s")]
     pub skew_s: u64,
 }
--- a/crates/telemetry/src/settings/keys.rs
+++ b/crates/telemetry/src/settings/keys.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Checks that no key is still hidden, which it is if the current document had no key in its place.
+    /// Checks that no key is the placeholder. [`Telemetry::restore_hidden_keys`] leaves the placeholder where
+    /// the current document has no key.
     pub(super) fn check_no_hidden_keys(&self) -> Result<(), SettingsError> {
         let mut document = self.clone();
         let mut hidden = document.keys_mut();
--- a/crates/telemetry/src/settings/validation.rs
+++ b/crates/telemetry/src/settings/validation.rs
@@ -8,6 +8,9 @@
 
 impl Telemetry {
     /// Checks the ranges of numbers, the lengths of names and the presence of keys.
+    ///
+    /// # Errors
+    /// Returns the first violation that is found.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_no_hidden_keys()?;
         check_range("interval_s", self.interval_s as usize, 1..=3600)?;
--- a/crates/telemetry/src/stream.rs
+++ b/crates/telemetry/src/stream.rs
@@ -24,7 +24,8 @@
 pub struct Stream {
     /// The last value of each series.
     pub series: BTreeMap<String, SeriesValue>,
-    /// Descriptions of counts that fell and of timestamps that went back; only the first hundred.
+    /// Descriptions of the points whose timestamp, or whose value in a series of counts, is less than that of
+    /// the previous point of the series; only the first hundred.
     pub regressions: Vec<String>,
     /// Number of points received.
     pub points: u64,
@@ -34,7 +35,7 @@
     pub notifications: Vec<ReceivedNotification>,
     /// Number of items that could not be decoded.
     pub invalid_items: u64,
-    /// Why the last invalid item could not be decoded.
+    /// Why the last invalid item could not be decoded; `None` if all items could be.
     pub last_error: Option<String>,
     /// Number of points that were not stored because of the maximum number of series.
     pub points_over_limit: u64,
@@ -52,7 +53,7 @@
 /// A notification received in collectd's protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedNotification {
-    /// What the notification is about.
+    /// The plugin instance, which identifies the destination or independent route that changed state.
     pub subject: String,
     /// The severity, as defined by collectd's protocol.
     pub severity: u64,
@@ -66,7 +67,7 @@
     /// A frame announces more than a receiver accepts.
     #[error("a frame of {bytes} bytes is longer than {MAX_FRAME_BYTES} bytes")]
     FrameTooLong {
-        /// The announced length.
+        /// The announced length of the pickled list in bytes.
         bytes: usize,
     },
     /// A frame does not hold a pickled list of points.
@@ -75,7 +76,7 @@
     /// A line is not a point of the plaintext format.
     #[error("not a plaintext point: {line:.80}")]
     InvalidLine {
-        /// The line.
+        /// The line, with invalid UTF-8 replaced.
         line: String,
     },
 }
@@ -85,13 +86,13 @@
     /// Decoded points.
     Points {
         points: Vec<NamedPoint>,
-        /// Length of the encoded item.
+        /// Length of the encoded item in bytes.
         bytes: usize,
     },
     /// An item that could not be decoded.
     Invalid {
         error: StreamError,
-        /// Length of the encoded item, which is skipped.
+        /// Length in bytes of the encoded item, which is skipped.
         bytes: usize,
     },
     /// More bytes are needed.
--- a/crates/telemetry/src/telemetry.rs
+++ b/crates/telemetry/src/telemetry.rs
@@ -172,8 +172,9 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles the result of the sync with this number. The part of a report that waits for it is sent with
-    /// its counts, or without them if the sync failed. The result of any other sync is ignored.
+    /// Handles the result of the sync with this number. If the current part of the report waits for this
+    /// sync, the part is sent: with the counts if the sync succeeded, without the counts if it failed. The
+    /// result of any other sync is ignored.
     pub fn synced(&mut self, number: u64, result: Result<(), SyncError>) {
         let Some(report) = &mut self.report else { return };
         if !report.waits_for_sync(number) {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Returns all counts, by what they belong to.
+    /// Returns all counts, by the cell that they belong to.
     pub fn counts(&self) -> &BTreeMap<CounterKey, Counts> {
         self.recording.counters.cells()
     }
--- a/crates/telemetry/src/telemetry/report_cycle.rs
+++ b/crates/telemetry/src/telemetry/report_cycle.rs
@@ -10,7 +10,8 @@
 use crate::{LogEvent, Output, SyncError};
 use linnetcart::Time;
 
-/// Maximum duration of a sync of the counter log; after it, a part of a report is sent without its counts.
+/// Maximum duration of a sync of the counter log, in nanoseconds; after it, the part of the report that waits
+/// for the sync is sent without counts.
 const SYNC_TIMEOUT: Time = 20 * SECOND;
 
 impl Telemetry {
--- a/crates/telemetry/tests/virtual_time/fixture.rs
+++ b/crates/telemetry/tests/virtual_time/fixture.rs
@@ -43,8 +43,9 @@
     connected: bool,
     /// Bytes handed to the current connection.
     handed_over: u64,
-    /// The monotonic and the wall clock.
+    /// The monotonic clock, in nanoseconds.
     pub now: u64,
+    /// The wall clock, in nanoseconds since 1970.
     pub wall: u64,
     pub logged: Vec<LogEvent>,
     random: ChaCha8Rng,
--- a/crates/testbed/src/courier_process.rs
+++ b/crates/testbed/src/courier_process.rs
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 pub struct CourierProcess {
     child: Child,
-    /// The address on which it accepts messages, over the Kafka protocol.
+    /// The address on which the process accepts messages, over the Kafka protocol.
     pub kafka: SocketAddr,
-    /// The address of its HTTP control interface; a relay has none and gives its Kafka address.
+    /// The address of the courier's HTTP control interface; for a relay, which has none, its Kafka address.
     pub control: SocketAddr,
 }
 
@@ -33,14 +33,14 @@
 pub struct CourierOptions<'a> {
     /// The program whose `edge` command runs a courier.
     pub program: &'a Path,
-    /// The folder for its state and log.
+    /// The folder for the courier's state and log.
     pub dir: &'a Path,
-    /// The seed of the random numbers in its decisions.
+    /// The seed of the random numbers in the courier's decisions.
     pub seed: u64,
-    /// The name of its decision policy: `library` for the decision library, the name of a baseline policy, or
-    /// [`POLICY_PREFIX`](crate::decision_record::POLICY_PREFIX) and a folder for decision records.
+    /// The name of the courier's decision policy: `library` for the decision library, the name of a baseline
+    /// policy, or [`POLICY_PREFIX`](crate::decision_record::POLICY_PREFIX) and a folder for decision records.
     pub policy: &'a str,
-    /// How long it continues to deliver the messages in flight after SIGTERM, before it exits.
+    /// How long the courier continues to deliver the messages in flight after SIGTERM, before it exits.
     pub drain_timeout: Duration,
 }
 
@@ -61,18 +61,28 @@
 
 impl CourierProcess {
     /// Starts a courier and waits for its ready line.
+    ///
+    /// # Errors
+    /// Fails if the process cannot be started, or ends or prints something else instead of a ready line.
     pub fn start(options: &CourierOptions) -> anyhow::Result<CourierProcess> {
         CourierProcess::spawn(options.command(), options.dir)
     }
 
     /// Starts a courier that is pinned to one CPU core, and waits for its ready line.
+    ///
+    /// # Errors
+    /// As [`CourierProcess::start`].
     pub fn start_pinned(options: &CourierOptions, core: usize) -> anyhow::Result<CourierProcess> {
         let mut command = options.command();
         command.env(CORE_VARIABLE, core.to_string());
         CourierProcess::spawn(command, options.dir)
     }
 
-    /// Starts a relay to these endpoints that is pinned to one CPU core, and waits for its ready line.
+    /// Starts a relay to these endpoints that is pinned to one CPU core, and waits for its ready line. The
+    /// relay's log is in `dir`.
+    ///
+    /// # Errors
+    /// As [`CourierProcess::start`].
     pub fn start_relay_pinned(
         program: &Path,
         dir: &Path,
@@ -138,7 +148,7 @@
         self.signal(Signal::CONT);
     }
 
-    /// Begins the graceful shutdown with SIGTERM.
+    /// Begins the graceful shutdown of a courier with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,5 @@
-//! A proxy without a decision policy, on the same event loop and Kafka codec as the edge. Its CPU time per
-//! message is the baseline for the edge's: the cost of forwarding alone.
+//! A proxy without a decision policy, on the same event loop and Kafka codec as the edge. The CPU time per
+//! message of the relay is the cost of forwarding alone, with which that of the edge is compared.
 //!
 //! A Produce request for one partition, the only kind that the measuring clients send, becomes one call to
 //! the endpoint of that partition. A connection to an endpoint carries one call at a time and returns to a
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Forgets a connection that is closed.
+    /// Removes a closed connection from the table and from the pool of idle connections.
     fn remove(&mut self, token: Token) {
         self.connections.remove(&token);
         for idle in &mut self.idle {
--- a/crates/testbed/src/report_cost.rs
+++ b/crates/testbed/src/report_cost.rs
@@ -30,8 +30,8 @@
 const MESSAGES_PER_ITERATION: u32 = 10;
 /// Maximum number of slices of a report; each is one iteration of the event loop.
 const MAX_SLICES: u64 = 10_000;
-/// Minimum number of slices of a report: the telemetry may be idle in the first ones, before it has anything
-/// to send.
+/// Index, from 0, of the first slice after which an idle telemetry means that the report is complete: in the
+/// earlier slices the telemetry may be idle because it has nothing to send yet.
 const MIN_SLICES: u64 = 3;
 
 /// A telemetry instance, and the random source of the messages that are recorded in it.
@@ -44,21 +44,24 @@
 /// The cost of recording the messages of one report interval.
 #[derive(Default)]
 struct IntervalCost {
-    /// Elapsed time of the telemetry's calls, in seconds.
+    /// Real time that the calls of the telemetry took, in seconds.
     seconds: f64,
     /// Bytes appended to the counter log.
     log_bytes: usize,
 }
 
-/// The cost and size of one report.
+/// The time to write one report, and the size of the report for each receiver.
 #[derive(Default)]
 struct ReportCost {
-    /// Elapsed time of all slices, in milliseconds.
+    /// Real time of all slices together, in milliseconds.
     total_ms: f64,
-    /// Elapsed time of the longest slice, in milliseconds.
+    /// Real time of the longest slice, in milliseconds.
     longest_slice_ms: f64,
+    /// Number of points in the report.
     points: usize,
+    /// Bytes written to the Graphite connection.
     graphite_bytes: usize,
+    /// Bytes of the datagrams sent to collectd.
     collectd_bytes: usize,
 }
 
@@ -68,8 +71,8 @@
     report: ReportCost,
 }
 
-/// Measures the time to record a message's delivery events and to write a report, for each Graphite protocol
-/// and number of destinations. Returns medians over this many rounds as JSON.
+/// Measures the time to record a message's delivery events and the time to write a report, for each Graphite
+/// protocol and number of destinations. Returns medians over `rounds` rounds as JSON.
 pub fn run(rounds: usize) -> Value {
     let mut rows = Vec::new();
     for form in [Form::Plaintext, Form::Pickle] {
@@ -140,8 +143,8 @@
         TelemetryBench { telemetry, destinations, rng: ChaCha8Rng::seed_from_u64(1) }
     }
 
-    /// Records the messages of an interval and writes the report at its end. Interval `number` ends after
-    /// that many report intervals.
+    /// Records the messages of interval `number`, counted from 1, and writes the report at the end of the
+    /// interval, at the virtual time `number * REPORT_INTERVAL`.
     fn run_round(&mut self, number: u64) -> Round {
         let interval_end = number * REPORT_INTERVAL;
         let interval = self.run_interval(interval_end - REPORT_INTERVAL + 1);
@@ -193,8 +196,8 @@
         self.telemetry.record(&DeliveryEvent::Completed { message, class, destination, answer, elapsed });
     }
 
-    /// Has the telemetry append the counts of an iteration to its counter log, and returns their size in
-    /// bytes.
+    /// Performs one iteration of the telemetry's event loop, and returns the size in bytes of the frames that
+    /// the iteration appends to the counter log.
     fn append_to_log(&mut self, now: u64) -> usize {
         self.telemetry.process(now, now, CurrentState::default);
         let mut bytes = 0;
--- a/crates/testbed/src/report_receiver/event_loop.rs
+++ b/crates/testbed/src/report_receiver/event_loop.rs
@@ -197,7 +197,8 @@
     }
 }
 
-/// Stores a value as a point named HOST.PLUGIN.PLUGIN_INSTANCE.TYPE_INSTANCE, or a notification.
+/// Stores the first value of a list as a point named HOST.PLUGIN.PLUGIN_INSTANCE.TYPE_INSTANCE, or stores a
+/// notification unless there are [`MAX_NOTIFICATIONS`].
 fn add_packet_item(stream: &mut Stream, record: &mut Option<PointRecord>, item: PacketItem) {
     match item {
         PacketItem::Values { header, values } => {
--- a/crates/testbed/src/socket_run.rs
+++ b/crates/testbed/src/socket_run.rs
@@ -24,8 +24,8 @@
 const SECOND: Time = 1000 * MILLISECOND;
 /// Maximum time until every courier is ready; see [`ScenarioRunner::ready`].
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
-/// Maximum time until every courier has exited after SIGTERM, in nanoseconds; longer than their drain
-/// timeout.
+/// Maximum time until every courier has exited after SIGTERM, in nanoseconds; longer than the couriers' drain
+/// timeout of 10 seconds.
 const SHUTDOWN_TIMEOUT: Time = 12 * SECOND;
 /// Maximum wait of one poll while couriers become ready or exit, in nanoseconds.
 const TRANSITION_POLL: Time = 10 * MILLISECOND;
@@ -45,7 +45,8 @@
     pub program: PathBuf,
     /// The folder for the couriers' state and logs, with a folder for each courier.
     pub dir: PathBuf,
-    /// The Graphite receiver that the couriers report to every second; `None` if they send no reports.
+    /// The TCP address of the Graphite receiver that the couriers report to every second; `None` if they send
+    /// no reports.
     pub graphite: Option<SocketAddr>,
     /// Called once per second of the scenario with the progress so far; `None` for no progress reports.
     pub progress: Option<fn(Progress)>,
@@ -59,7 +60,7 @@
     }
 }
 
-/// How far a run has come.
+/// Progress of a run, for a progress report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
     /// Seconds of the scenario that have passed.
@@ -74,7 +75,8 @@
 struct SocketStack<'a> {
     runner: ScenarioRunner<'a, SocketTransport<'a>>,
     options: &'a StackOptions,
-    /// When the runner's clock was zero. It is set again when traffic starts.
+    /// The instant of time 0 on the runner's clock, which is set to 0 at the start and again when traffic
+    /// starts.
     started: Instant,
     /// Whether SIGTERM or SIGINT was received.
     is_signalled: bool,
@@ -95,6 +97,9 @@
 /// Runs the couriers and endpoints of a scenario without its traffic until SIGTERM or SIGINT. `ready` is
 /// called once every courier is ready, with the first courier's addresses, the destinations and the topics as
 /// JSON.
+///
+/// # Errors
+/// Fails in the cases in which [`run`] fails, or if the signals cannot be watched.
 pub fn run_until_signal(
     fleet: &Fleet,
     options: &StackOptions,
@@ -212,8 +217,8 @@
         Ok(())
     }
 
-    /// Waits for socket events for at most `max_wait` nanoseconds or until the runner's next timer is due,
-    /// then processes the events and the due timers.
+    /// Waits until a socket event arrives, the runner's next timer is due or `max_wait` nanoseconds have
+    /// passed, whichever is first. Then processes the events and the due timers.
     fn poll(&mut self, events: &mut Vec<Event>, max_wait: Time) -> anyhow::Result<()> {
         let wait_until = self.runner.now() + max_wait;
         let next = self.runner.next_wakeup().map_or(wait_until, |wakeup| wakeup.min(wait_until));
@@ -264,8 +269,8 @@
         }
     }
 
-    /// Processes the end of a connection. It completes the reply of a control interface, since requests to
-    /// one are sent with `Connection: close`.
+    /// Processes the end of a connection. On a connection to a control interface the end completes the reply,
+    /// because requests to control interfaces are sent with `Connection: close`.
     fn process_closed(&mut self, token: Token) -> anyhow::Result<()> {
         let Some(pending) = self.runner.transport.pending_replies.remove(&token) else {
             self.runner.disconnected(token);
--- a/crates/testbed/src/throughput_baseline.rs
+++ b/crates/testbed/src/throughput_baseline.rs
@@ -32,7 +32,7 @@
     pub rounds: usize,
 }
 
-/// Which parts are measured, and the parameter values that they are measured for.
+/// Which parts are measured, and the parameter values for the parts that have one.
 #[derive(Clone, Debug)]
 pub struct Selection {
     /// The name of the only part that is measured; all parts if `None`.
@@ -48,11 +48,11 @@
 enum Part {
     /// An edge compared with a relay.
     EdgeAndRelay,
-    /// CPU time per message for numbers of destinations.
+    /// CPU time per message of an edge, for each selected number of destinations.
     Destinations,
-    /// CPU time per message and memory for numbers of messages in flight.
+    /// CPU time per message and memory of an edge, for each selected number of messages in flight.
     InFlight,
-    /// Memory per idle client connection.
+    /// Memory of an edge per idle client connection.
     Connections,
     /// CPU time and latency of messages with and without reports.
     Telemetry,
--- a/crates/testbed/src/throughput_baseline/cases.rs
+++ b/crates/testbed/src/throughput_baseline/cases.rs
@@ -17,7 +17,8 @@
 const IN_FLIGHT_LOAD: Load = Load::OpenLoop(50.0);
 /// Number of connections on which the messages that stay in flight are submitted.
 const WAITING_CLIENTS: usize = 4;
-/// Number of these messages that are submitted between two polls, which write the queued requests out.
+/// Number of messages that [`submit_waiting_messages`] submits between two polls; a poll writes the queued
+/// requests to the sockets.
 const SUBMISSION_BATCH: usize = 500;
 
 /// One measurement of the relay and one of the edge, both under closed-loop load.
@@ -54,7 +55,7 @@
     Clients::connect(subject.process.kafka, 256, 0..10)
 }
 
-/// Measures relay and edge alternately under closed-loop load. Their clients are disconnected at the end.
+/// Measures relay and edge alternately under closed-loop load. All clients are disconnected at the end.
 fn closed_loop_rounds(options: &Options, edge: &Subject, relay: &Subject) -> anyhow::Result<Vec<Round>> {
     let mut edge_clients = connect_clients(edge)?;
     let mut relay_clients = connect_clients(relay)?;
@@ -112,8 +113,8 @@
     Ok(json!(rows))
 }
 
-/// Submits messages for destination 0, whose endpoint never answers. Their connections stay open until the
-/// returned clients are dropped.
+/// Submits `count` messages for destination 0, whose endpoint never answers. The connections of the messages
+/// stay open until the returned clients are dropped.
 fn submit_waiting_messages(edge: &Subject, count: usize) -> anyhow::Result<Clients> {
     let mut waiting = Clients::connect(edge.process.kafka, WAITING_CLIENTS, 0..1)?;
     for number in 0..count {
--- a/crates/testbed/src/throughput_baseline/subject.rs
+++ b/crates/testbed/src/throughput_baseline/subject.rs
@@ -42,12 +42,14 @@
 }
 
 impl Subject {
-    /// Starts an edge with settings and an endpoint list, and its state in the folder of the options.
+    /// Starts an edge with settings and an endpoint list. The edge's state is in a new folder within
+    /// [`Options::dir`].
     pub(super) fn edge(options: &Options, setup: EdgeSetup) -> anyhow::Result<Subject> {
         Subject::edge_in(options, &options.dir, setup)
     }
 
-    /// Starts an edge with settings and an endpoint list, and its state in a new folder within `folder`.
+    /// Starts an edge with settings and an endpoint list. The edge's state is in a new folder within
+    /// `folder`.
     pub(super) fn edge_in(options: &Options, folder: &Path, setup: EdgeSetup) -> anyhow::Result<Subject> {
         let EdgeSetup { max_in_flight_calls, destinations, silent_destinations } = setup;
         let serving = destinations - silent_destinations;
@@ -67,7 +69,7 @@
         Ok(Subject { process, _receivers: receivers })
     }
 
-    /// Starts a relay to this many endpoints.
+    /// Starts a relay to `destinations` endpoints that answer every message.
     pub(super) fn relay(options: &Options, destinations: usize) -> anyhow::Result<Subject> {
         let receivers = MessageReceivers::start(ReceiverCounts::serving(destinations))?;
         let addresses: Vec<String> = receivers.addresses.iter().map(ToString::to_string).collect();
--- a/crates/testbed/src/throughput_baseline/telemetry_case.rs
+++ b/crates/testbed/src/throughput_baseline/telemetry_case.rs
@@ -1,5 +1,5 @@
-//! The cost of reports to an edge's messages: CPU time and latency without reports, and with reports to a
-//! receiver that reads, is absent, or never reads.
+//! How much reporting costs the messages of an edge: CPU time and latency per message without reports, and
+//! with reports to a receiver that reads, is absent, or never reads.
 
 use super::clients::{Clients, Load};
 use super::subject::{EdgeSetup, Measurement, Subject};
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Messages per second.
+/// Open-loop rate of every case, in messages per second.
 const RATE: f64 = 6000.0;
 /// Time under load before the first measurement of a case.
 const WARM_UP: Duration = Duration::from_secs(1);
