--- a/crates/telemetry/src/connection/tests.rs
+++ b/crates/telemetry/src/connection/tests.rs
@@ -4,7 +4,7 @@
     ReceiverConnection::new("127.0.0.1:2003".parse().expect("an address"), 1000, 30 * SECOND, 1)
 }
 
-/// A chunk of 10 points and 100 bytes, all with this value.
+/// A chunk of 10 points and 100 bytes, every byte of which is `content`.
 fn chunk(content: u8) -> Vec<Chunk> {
     vec![Chunk { bytes: vec![content; 100], points: 10 }]
 }
--- a/crates/telemetry/src/counters.rs
+++ b/crates/telemetry/src/counters.rs
@@ -55,7 +55,8 @@
     class_totals: Vec<Counts>,
     /// Cells that changed since they were last reported, or were postponed to the next report.
     unreported: BTreeSet<CounterKey>,
-    /// Whether this iteration answers clients, so that its changes must be logged without delay.
+    /// Whether this iteration of the event loop answers clients: its changes must then be logged before the
+    /// answers are sent, without waiting for [`LOG_INTERVAL`].
     must_log: bool,
     /// When [`Counters::log_if_due`] last appended changes, by the monotonic clock.
     last_logged: Time,
@@ -82,7 +83,8 @@
         self.store.cells()
     }
 
-    /// Adds to a count and to the total of its class.
+    /// Adds `increase` to a count and, if the count belongs to a destination and class, to the total of the
+    /// class.
     pub(crate) fn add(&mut self, key: CounterKey, field: Field, increase: u64) {
         // An increase that got no cell is not added to the total either: a restart recomputes totals from the
         // cells, and a total that included it would fall.
--- a/crates/telemetry/src/receivers.rs
+++ b/crates/telemetry/src/receivers.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Applies new settings. If those of the Graphite receiver are unchanged, its connection and send buffer
-    /// are retained.
+    /// Applies new settings. The connection to Graphite and its send buffer are retained if the settings of
+    /// the Graphite receiver are unchanged; otherwise they are discarded.
     pub(crate) fn configure(&mut self, settings: &Settings, outputs: &mut Vec<Output>) {
         self.interval = settings.interval_s * SECOND;
         self.collectd.clone_from(&settings.collectd);
--- a/crates/telemetry/src/selection.rs
+++ b/crates/telemetry/src/selection.rs
@@ -1,4 +1,4 @@
-//! Selection of the items of a report: what changed, and a round robin over what did not.
+//! Selection of the items of a report: all gauges, the cells that changed, and a round robin over all cells.
 
 use crate::counts::CounterKey;
 use crate::recording::Recording;
--- a/crates/telemetry/src/settings/error.rs
+++ b/crates/telemetry/src/settings/error.rs
@@ -16,7 +16,7 @@
         /// The largest allowed value.
         max: usize,
     },
-    /// A key is hidden, but the current document has no key in its place that could be retained.
+    /// A key is the placeholder of a hidden key, but the current document has no key in this place.
     #[error("no key is known that could be kept; give it")]
     UnknownKey {
         /// Place of the key: the receiver or listener, the user and, for a listener, the key's index.
--- a/crates/telemetry/src/settings/keys.rs
+++ b/crates/telemetry/src/settings/keys.rs
@@ -9,7 +9,8 @@
 
 /// A secret key in a document.
 struct KeyEntry<'a> {
-    /// Place of the key, the same in the document that was shown and in the one that comes back.
+    /// Place of the key in the document: the receiver or listener, the user and, for a listener, the key's
+    /// index. A key has the same place in the document that was shown and in the document that is sent back.
     owner: String,
     key: &'a mut String,
 }
--- a/crates/telemetry/src/telemetry.rs
+++ b/crates/telemetry/src/telemetry.rs
@@ -104,8 +104,8 @@
         &self.settings
     }
 
-    /// Applies new settings. If those of the Graphite receiver are unchanged, its connection and send buffer
-    /// are retained.
+    /// Applies new settings. The connection to Graphite and its send buffer are retained if the settings of
+    /// the Graphite receiver are unchanged; otherwise they are discarded.
     pub fn configure(&mut self, settings: Settings, now: Time) {
         self.receivers.configure(&settings, &mut self.outputs);
         self.host.configure(settings.listen.as_ref());
@@ -114,8 +114,8 @@
         self.settings = settings;
     }
 
-    /// Replaces the endpoint list. The observed limits of destinations and routes that it no longer contains
-    /// are discarded; their counts are retained.
+    /// Replaces the endpoint list. For destinations and routes that the list no longer contains, the observed
+    /// limits are discarded and the counts are retained.
     pub fn set_endpoints(&mut self, endpoints: impl Iterator<Item = ListedEndpoint>) {
         self.recording.limits.set_endpoints(endpoints);
     }
--- a/crates/telemetry/tests/virtual_time/checks.rs
+++ b/crates/telemetry/tests/virtual_time/checks.rs
@@ -4,12 +4,14 @@
 use linnetcart_telemetry::stream::SeriesValue;
 
 impl Simulation {
-    /// Returns the last point of a series at the Graphite receiver; `suffix` is its name after the courier's.
+    /// Returns the last point of a series at the Graphite receiver; `suffix` is the part of the series name
+    /// after the courier's number.
     pub fn last_point(&self, suffix: &str) -> SeriesValue {
         self.receiver.stream.series[&format!("linnetcart.test.edge.3.{suffix}")]
     }
 
-    /// Returns the last value of a series at the Graphite receiver; `suffix` is its name after the courier's.
+    /// Returns the last value of a series at the Graphite receiver; `suffix` is the part of the series name
+    /// after the courier's number.
     pub fn last_value(&self, suffix: &str) -> f64 {
         self.last_point(suffix).value
     }
@@ -19,8 +21,8 @@
         assert_eq!(self.receiver.stream.regressions, Vec::<String>::new());
     }
 
-    /// Checks that both receivers have the counts of the simulation, and that at neither a counter fell or a
-    /// timestamp went back.
+    /// Checks that Graphite and collectd have the counts of the simulation, and that no counter fell and no
+    /// timestamp went back at either receiver.
     pub fn assert_counts_received(&self) {
         self.assert_no_regression();
         assert_eq!(self.collectd.regressions, Vec::<String>::new());
--- a/crates/telemetry/tests/virtual_time/fixture.rs
+++ b/crates/telemetry/tests/virtual_time/fixture.rs
@@ -41,7 +41,7 @@
     /// Whether Graphite reads from its connection.
     pub receiver_reads: bool,
     connected: bool,
-    /// Bytes handed to the current connection.
+    /// Number of bytes that the receiver has read from the current connection.
     handed_over: u64,
     /// The monotonic clock, in nanoseconds.
     pub now: u64,
@@ -49,9 +49,9 @@
     pub wall: u64,
     pub logged: Vec<LogEvent>,
     random: ChaCha8Rng,
-    /// The expected counts, by the part of their series' names after the courier.
+    /// The expected counts, by the part of the series name after the courier's number.
     pub counted: BTreeMap<String, u64>,
-    /// Maximum size that the send buffer for Graphite reached.
+    /// Maximum size that the send buffer for Graphite reached, in bytes.
     pub max_waiting_bytes: usize,
 }
 
@@ -128,7 +128,7 @@
         self.telemetry.disconnected(self.now);
     }
 
-    /// Makes the receiver unreachable; the bytes of its connection are lost.
+    /// Makes the receiver unreachable: the connection breaks and no new one can be established.
     pub fn lose_receiver(&mut self) {
         self.receiver_reachable = false;
         self.receiver_reads = false;
@@ -251,7 +251,7 @@
         self.wall += nanos;
     }
 
-    /// Simulates this many iterations, a tenth of a second apart, with a message in each.
+    /// Simulates `tenths` iterations, a tenth of a second apart, with a message in each.
     pub fn run(&mut self, tenths: u64) {
         for _ in 0..tenths {
             self.advance_clocks(SECOND / 10);
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Simulates this many iterations, a millisecond apart, with a message in each.
+    /// Simulates `messages` iterations, a millisecond apart, with a message in each.
     pub fn run_fast(&mut self, messages: u64) {
         for _ in 0..messages {
             self.advance_clocks(SECOND / 1000);
--- a/crates/telemetry/tests/virtual_time/messages.rs
+++ b/crates/telemetry/tests/virtual_time/messages.rs
@@ -6,14 +6,16 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Latencies of messages served within and after the latency objective, in nanoseconds.
+/// Latency of a message that is answered within the latency objective, in nanoseconds.
 const WITHIN_OBJECTIVE: u64 = SECOND / 9;
+/// Latency of a message that is served after the latency objective, in nanoseconds.
 const LATE: u64 = 2 * SECOND;
 
 /// The outcome of a simulated message.
 pub struct MessageOutcome {
     outcome: AttemptOutcome,
     answer: FinalAnswer,
+    /// Time to the outcome of the attempt and to the final answer, in nanoseconds.
     elapsed: u64,
     /// The metric that counts the attempt.
     pub attempt_metric: &'static str,
--- a/crates/telemetry/tests/virtual_time/parts.rs
+++ b/crates/telemetry/tests/virtual_time/parts.rs
@@ -61,7 +61,7 @@
 pub struct Disk {
     pub saved: Option<Vec<u8>>,
     pub log: Vec<u8>,
-    /// Length of the part of the log that survives a power loss.
+    /// Number of bytes at the beginning of the log that survive a power loss.
     pub synced_bytes: usize,
 }
 
--- a/crates/telemetry/tests/virtual_time/scale.rs
+++ b/crates/telemetry/tests/virtual_time/scale.rs
@@ -21,7 +21,8 @@
 const MANY_DESTINATIONS: u32 = 5000;
 const MANY_CLASSES: u8 = 10;
 
-/// A courier that accepted a message of each class for each destination.
+/// The telemetry of a courier that accepted a message of each class for each destination, with at most
+/// `max_points` points in a report.
 fn courier_of_many_cells(max_points: usize) -> Telemetry {
     let mut info = courier(3);
     let class = info.classes[0].class.clone();
--- a/crates/testbed/src/report_receiver.rs
+++ b/crates/testbed/src/report_receiver.rs
@@ -2,7 +2,7 @@
 //! last value of each series, and detects counters that decrease.
 //!
 //! A [`ReportReceiver`] owns a thread with an event loop. [`ReportReceiver::behave`] has it stop reading,
-//! reset connections or stop listening. It never sends data to the couriers that report to it.
+//! reset connections or stop listening. The receiver never sends data to the couriers.
 
 mod event_loop;
 
--- a/crates/testbed/src/throughput_baseline/cases.rs
+++ b/crates/testbed/src/throughput_baseline/cases.rs
@@ -27,8 +27,8 @@
     edge: Measurement,
 }
 
-/// Measures edge and relay alternately under closed-loop load, then the latency of both at an open-loop rate
-/// of half the edge's lowest throughput in these rounds.
+/// Measures edge and relay alternately under closed-loop load. Then measures the latency of both under
+/// open-loop load, at half the lowest throughput that the edge had in the closed-loop rounds.
 pub(super) fn edge_and_relay(options: &Options) -> anyhow::Result<Value> {
     let setup = EdgeSetup { max_in_flight_calls: 512, destinations: 10, silent_destinations: 0 };
     let edge = Subject::edge(options, setup)?;
--- a/crates/testbed/src/throughput_baseline/telemetry_case.rs
+++ b/crates/testbed/src/throughput_baseline/telemetry_case.rs
@@ -102,7 +102,8 @@
     Ok(receiver)
 }
 
-/// The spread of a case's samples, and of their ratios to the samples without reports in the same rounds.
+/// Minimum, median and maximum of a case's samples, and of the ratios sample / sample without reports of the
+/// same round.
 fn case_json(case: &Case, without_reports: &[Sample]) -> Value {
     let spread_of = |metric: fn(&Sample) -> f64| spread(case.samples.iter().map(metric).collect());
     let spread_of_ratios = |metric: fn(&Sample) -> f64| {
--- a/crates/testbed/tests/emulated.rs
+++ b/crates/testbed/tests/emulated.rs
@@ -36,7 +36,8 @@
 levels = ["library", "one-try"]
 "#;
 
-/// Options with a limit on the runs of one call, to stop an experiment before it is complete.
+/// Options for an experiment. With `max_runs` the call stops after this many runs, before the experiment is
+/// complete.
 fn options(threads: usize, max_runs: Option<u64>) -> experiment::Options {
     experiment::Options {
         threads,
@@ -51,7 +52,7 @@
     experiment::run(Plan::parse(PLAN).unwrap(), out, &options).unwrap()
 }
 
-/// Appends an incomplete line, as a process leaves it that is killed during a write.
+/// Appends an incomplete line, as a process that is killed during a write leaves it.
 fn append_incomplete_line(lines: &Path) {
     let mut text = std::fs::read_to_string(lines).unwrap();
     text.push_str("{\"run\":7,\"se");
@@ -198,9 +199,9 @@
     assert!(error.contains("the run has 0 to"), "{error}");
 }
 
-/// Events and actions whose number and order depend on timing; they are not compared.
+/// Names of the events and actions that are not compared, because their number and order depend on timing.
 const TIMED_ITEMS: [&str; 4] = ["List", "Wake", "Close", "Log"];
-/// The fields of events and actions that are compared; they do not depend on clocks.
+/// Names of the fields of events and actions that are compared; the values do not depend on clocks.
 const COMPARED_FIELDS: [&str; 6] = ["id", "message", "attempt", "destination", "endpoint", "ending"];
 
 /// Describes an event or action of a decision record by its compared fields; `None` if it is not compared.
@@ -259,7 +260,7 @@
     script: &'static str,
 }
 
-/// Regression cases: each breaks its invariant again when the fix for it is removed.
+/// Regression cases: each scenario breaks an invariant again when the fix of the defect is removed.
 const FOUND: [FoundScenario; 8] = [
     FoundScenario { name: "turned-away", script: include_str!("finds/turned-away.toml") },
     FoundScenario { name: "late-wait", script: include_str!("finds/late-wait.toml") },
--- a/crates/testbed/tests/process.rs
+++ b/crates/testbed/tests/process.rs
@@ -25,9 +25,9 @@
 use std::time::{Duration, Instant};
 use work_folder::work_folder;
 
-/// Size of a record's value.
+/// Size of a record's value, in bytes.
 const RECORD_BYTES: usize = 100;
-/// Maximum time until an answer.
+/// Read timeout of a client that waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Upper bound for the bytes that a courier accepts from a client that does not read its answers, before it
 /// stops reading from that client (backpressure).
@@ -176,7 +176,7 @@
     let connections: Vec<TcpStream> = (0..60).map(|_| courier.connect()).collect();
     std::thread::sleep(Duration::from_millis(300));
     drop(connections);
-    // The descriptors are free again.
+    // The connections are closed, so descriptors are free again.
     let mut stream = courier.connect();
     submit(&mut stream, "order");
     let code = answer_code(&mut stream);
--- a/crates/testbed/tests/rules.rs
+++ b/crates/testbed/tests/rules.rs
@@ -15,8 +15,8 @@
 use std::sync::{Mutex, PoisonError};
 use work_folder::work_folder;
 
-/// Held during a run: tests run one after the other, since parallel ones would compete for CPU time and delay
-/// each other's messages.
+/// Locked during a run, so that runs of different tests do not overlap: they would compete for CPU time and
+/// delay each other's messages.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 const SEED: u64 = 7;
--- a/crates/testbed/tests/support/counting_client.rs
+++ b/crates/testbed/tests/support/counting_client.rs
@@ -6,9 +6,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Size of a record's value.
+/// Size of a record's value, in bytes.
 const RECORD_BYTES: usize = 50;
-/// Maximum time until an answer.
+/// Read timeout of a client that waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The topics, and so the classes, of the messages that [`AnswerCounts::deliver`] submits, in round-robin
 /// order.
@@ -45,11 +45,11 @@
 /// Counts of clients' messages, by the answer.
 #[derive(Debug, Default)]
 pub struct AnswerCounts {
-    /// All submitted messages.
+    /// Number of submitted messages.
     pub submitted: u64,
-    /// Messages whose answer says that they were served.
+    /// Number of messages whose answer says that the message was served (error code 0).
     pub served: u64,
-    /// Messages whose answer has an error code: rejected or failed.
+    /// Number of messages whose answer has an error code: the message was rejected or failed.
     pub other: u64,
 }
 
--- a/crates/testbed/tests/support/reporting_courier.rs
+++ b/crates/testbed/tests/support/reporting_courier.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Maximum time until a condition holds.
+/// Maximum time that [`wait_until`] waits for a condition.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between two evaluations of a condition.
 const CONDITION_POLL: Duration = Duration::from_millis(20);
@@ -39,7 +39,8 @@
     CourierProcess::start(&options).unwrap()
 }
 
-/// Gives a courier settings, and an endpoint list with a destination for each endpoint.
+/// Gives a courier settings, and an endpoint list with a destination for each endpoint. Destinations are
+/// numbered from the last endpoint to the first, so that silent endpoints have the highest numbers.
 pub fn configure(courier: &CourierProcess, endpoints: &MessageReceivers) {
     control::put(courier.control, "/settings", &settings());
     control::put(courier.control, "/list", &endpoint_list(&endpoints.addresses));
@@ -98,7 +99,7 @@
     Collectd,
 }
 
-/// The last received value of a metric of the courier.
+/// The last received value of a metric of the courier; `None` if the receiver has no such series.
 ///
 /// `subject` is the entity that the metric describes, such as `courier`, `class.order` or `dest.Bank_Lodz`.
 pub fn last_value(stream: &Stream, subject: &str, metric: &str, kind: ReceiverKind) -> Option<f64> {
--- a/crates/testbed/tests/support/started_courier.rs
+++ b/crates/testbed/tests/support/started_courier.rs
@@ -30,7 +30,7 @@
 }
 
 impl Courier {
-    /// Starts a courier with the usual limit of file descriptors.
+    /// Starts a courier with the limit of file descriptors that the test process has.
     pub fn start(dir: &Path) -> Courier {
         Courier::start_by_shell(dir, "")
     }
@@ -69,7 +69,7 @@
         control::request(self.control, "PUT", path, &document.to_string()).status
     }
 
-    /// The body of a control interface's reply to GET.
+    /// The body of the control interface's reply to GET of a path, whatever the status.
     pub fn get(&self, path: &str) -> String {
         control::request(self.control, "GET", path, "").body
     }
@@ -114,8 +114,8 @@
     }]})
 }
 
-/// An endpoint that never answers: the kernel completes connections to its listener, which does not accept
-/// them.
+/// An endpoint that never answers: the kernel completes connections to the listener, but nothing accepts
+/// them or reads from them.
 pub struct SilentEndpoint {
     _listener: TcpListener,
     pub address: SocketAddr,
--- a/crates/testbed/tests/telemetry.rs
+++ b/crates/testbed/tests/telemetry.rs
@@ -33,9 +33,9 @@
 use std::time::Duration;
 use work_folder::work_folder;
 
-/// Delivers messages by a courier that is killed once after its first report and three times right after its
-/// last answer, and then while the receiver does not listen. Returns once the receiver has the count of all
-/// submitted messages.
+/// Delivers messages by a courier that is killed after the first report, and then three times right after the
+/// last answer of a batch of messages. Afterwards the courier delivers while the receiver does not listen.
+/// Returns once the receiver has the count of all submitted messages.
 fn deliver_over_faults(
     dir: &Path,
     endpoints: &MessageReceivers,
@@ -140,8 +140,8 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Submits messages, kills the courier after some of the answers, and returns how many answers said that a
-/// message was served, with those that had been sent before the kill.
+/// Submits messages and kills the courier after `answers_before_kill` answers. Returns how many answers said
+/// that a message was served, including answers that arrived after the kill because they were sent before it.
 fn kill_under_load(courier: CourierProcess, messages: u64, answers_before_kill: u64) -> u64 {
     let mut client = Client::new(courier.kafka);
     for _ in 0..messages {
@@ -158,8 +158,9 @@
     served
 }
 
-/// Guards against an answer that is sent before its counts are in the counter log: after a kill, the reports
-/// would lack it for good. Reports may count messages whose answers were lost in the kill.
+/// Guards against an answer that is sent before the counts of the message are in the counter log: after a
+/// kill, the reports would lack the message for good. Reports may count messages whose answers were lost in
+/// the kill.
 #[test]
 fn courier_killed_under_load_reports_no_less_than_clients_received() {
     let dir = work_folder("middle");
