--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -30,16 +30,16 @@
     Released,
 }
 
-/// The sending of a segment.
+/// A segment that is sent, with its connection, direction and time.
 #[derive(Clone, Copy, Debug)]
 pub struct Transmission<'a> {
-    /// When the segment is sent.
+    /// When the segment is sent, in nanoseconds on the network's clock.
     pub now: Time,
-    /// The connection.
+    /// The connection that carries the segment.
     pub token: Token,
-    /// The direction.
+    /// Whether the segment travels to or from the courier.
     pub direction: Direction,
-    /// The segment.
+    /// The data, or the step of opening or closing the connection, that is sent.
     pub segment: &'a Segment,
     /// Whether the segment is sent for the first time.
     pub kind: SendKind,
@@ -72,7 +72,7 @@
         self.insert(token, Connection::new(program, Peer::Client(token), now))
     }
 
-    /// Opens a connection to an endpoint under the courier's id for it.
+    /// Opens a connection to an endpoint. The courier identifies the connection by `upstream`.
     pub fn open_to_endpoint(
         &mut self,
         now: Time,
@@ -102,12 +102,12 @@
         self.connections.get(&token)
     }
 
-    /// Returns the connection with the courier's id for a client.
+    /// Returns the connection that the courier identifies by this client id.
     pub fn of_client(&self, courier: u32, client: ClientId) -> Option<Token> {
         self.by_client.get(&LocalId { courier, id: client }).copied()
     }
 
-    /// Returns the connection with the courier's id for an upstream connection.
+    /// Returns the connection that the courier identifies by this upstream connection id.
     pub fn of_upstream(&self, courier: u32, upstream: UpstreamId) -> Option<Token> {
         self.by_upstream.get(&LocalId { courier, id: upstream }).copied()
     }
--- a/crates/emulator/src/connections/connection.rs
+++ b/crates/emulator/src/connections/connection.rs
@@ -42,7 +42,7 @@
     Client(ClientId),
     /// An endpoint, which the courier connected to.
     Endpoint {
-        /// The courier's id of the connection.
+        /// The id by which the courier identifies the connection.
         upstream: UpstreamId,
         /// The endpoint.
         endpoint: u32,
@@ -119,9 +119,9 @@
 /// A segment that waits for the end of a partition.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QueuedSegment {
-    /// When it was sent.
+    /// When the segment was sent, in nanoseconds on the network's clock.
     pub sent_at: Time,
-    /// The segment.
+    /// The segment that waits.
     pub segment: Segment,
 }
 
@@ -180,7 +180,7 @@
     pub incarnation: u32,
     /// The other end.
     pub peer: Peer,
-    /// When the connection was requested.
+    /// When the connection was requested, in nanoseconds on the network's clock.
     pub opened_at: Time,
     /// Whether the courier has received data on the connection.
     pub courier_received_data: bool,
--- a/crates/emulator/src/connections/faults.rs
+++ b/crates/emulator/src/connections/faults.rs
@@ -4,14 +4,15 @@
 use linnetcart_conformance::Time;
 use std::collections::BTreeMap;
 
-/// Which connections of a courier are blocked, and in which directions.
+/// The part of a partition that concerns one courier. It holds back a segment if it blocks both the kind of
+/// the connection (`clients` or `endpoints`) and the direction of the segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Block {
-    /// The courier.
+    /// The courier that is cut off.
     pub courier: u32,
-    /// Whether connections of clients are blocked.
+    /// Whether the courier's connections with clients are blocked.
     pub clients: bool,
-    /// Whether connections to endpoints are blocked.
+    /// Whether the courier's connections with endpoints are blocked.
     pub endpoints: bool,
     /// Whether the direction to the courier is blocked.
     pub to_courier: bool,
--- a/crates/emulator/src/error.rs
+++ b/crates/emulator/src/error.rs
@@ -17,7 +17,7 @@
         /// The couriers with outstanding inputs, messages or notifications.
         couriers: Vec<u32>,
     },
-    /// The scenario failed.
+    /// The scenario runner failed, for example because a courier rejected a document.
     #[error(transparent)]
     Scenario(#[from] Box<dyn Error + Send + Sync>),
 }
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -37,8 +37,9 @@
         self.now
     }
 
-    /// Sets the clock, also to an earlier time: what a host sends leaves at the end of its iteration, while
-    /// other events of that time are still to be processed.
+    /// Sets the clock, forward or back. The outputs of an event loop iteration are sent with the clock at the
+    /// end of the iteration; then the clock is set back to the beginning of the iteration, since earlier
+    /// events are still queued.
     pub(crate) fn set_now(&mut self, now: Time) {
         self.now = now;
     }
--- a/crates/emulator/src/host/clock.rs
+++ b/crates/emulator/src/host/clock.rs
@@ -23,9 +23,9 @@
 /// The clocks of a host in one incarnation of its program.
 #[derive(Debug)]
 pub(super) struct HostClock {
-    /// When the program started, on the network's clock.
+    /// When the program started, in nanoseconds on the network's clock.
     started_at: Time,
-    /// Reading of the monotonic clock at that time.
+    /// Reading of the monotonic clock when the program started, in nanoseconds.
     initial_reading: Time,
     drift_ppm: i64,
     wall_offset: i64,
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -28,10 +28,11 @@
 const PORT: u16 = 9092;
 /// The first byte of every endpoint's address, 10.x.y.z. The other bytes are the endpoint's number.
 const ADDRESS_PREFIX: u8 = 10;
-/// XORed with the seed of the fleet, to seed the generator of delays, broken connections and crashes apart
-/// from all others.
+/// XORed with the seed of the fleet to seed the random number generator of delays, broken connections and
+/// crashes, so that it is independent of all others.
 const NETWORK_SEED_MASK: u64 = 0x3e7;
-/// XORed with the seed of the fleet, to seed the generator of clock deviations apart from all others.
+/// XORed with the seed of the fleet to seed the random number generator of clock deviations, so that it is
+/// independent of all others.
 const CLOCK_SEED_MASK: u64 = 0xc10c;
 
 /// A network event that the scenario has to process.
--- a/crates/emulator/src/network/arrivals.rs
+++ b/crates/emulator/src/network/arrivals.rs
@@ -7,7 +7,7 @@
 use linnetcart_scenario::runner::Token;
 use sha2::Digest;
 
-/// Returns the code of a segment's kind in the digest of a run.
+/// Returns the byte that encodes the kind of a segment in the input of the run's SHA-256 digest.
 fn digest_kind(segment: &Segment) -> u8 {
     match segment {
         Segment::Connect => 0,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Returns the code of a direction in the digest of a run.
+/// Returns the byte that encodes a direction in the input of the run's SHA-256 digest.
 fn digest_direction(direction: Direction) -> u8 {
     match direction {
         Direction::ToCourier => 0,
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -69,8 +69,9 @@
 
 /// Runs a scenario to its end.
 ///
-/// # Errors Returns an error if the couriers do not become ready or do not end in time, or if the scenario
-/// itself fails.
+/// # Errors
+/// Fails if the couriers do not become ready or do not shut down within their time limits, or if the scenario
+/// runner fails.
 pub fn run(fleet: &Fleet, options: Options) -> Result<EmulatedRun, EmulationError> {
     let network = Network::new(fleet, options.model, options.policy, options.trace);
     let runner = ScenarioRunner::new(fleet, network).map_err(scenario_error)?;
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -30,7 +30,8 @@
 pub struct DeliveryTrace {
     /// The message that is traced; `None` for all messages.
     traced_message: Option<u64>,
-    /// The names of the traced messages, which all couriers share, by each courier's own number for them.
+    /// The name of each traced message, by the number that a courier assigned to it. The name is the same in
+    /// all couriers.
     names: BTreeMap<LocalMessage, u64>,
     /// The events in order.
     pub events: Vec<TracedEvent>,
--- a/crates/endpoint-model/src/calls.rs
+++ b/crates/endpoint-model/src/calls.rs
@@ -2,7 +2,7 @@
 
 use linnetcart_conformance::Time;
 
-/// A message in a call.
+/// One message of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallItem {
     /// The id of the message.
@@ -20,12 +20,13 @@
     pub incarnation: u32,
 }
 
-/// A call that arrives at an endpoint.
+/// A call of a courier on its arrival at an endpoint: the input of
+/// [`EndpointSimulator::receive_call`](crate::EndpointSimulator::receive_call).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncomingCall<'a> {
     /// The courier that makes the call.
     pub caller: Caller,
-    /// Network delay from the courier to the endpoint, in nanoseconds; 0 if it is not known.
+    /// One-way network delay from the courier to the endpoint, in nanoseconds; 0 if it is not known.
     pub travelled: Time,
     /// The endpoint that the call reached.
     pub endpoint: u32,
--- a/crates/endpoint-model/src/destinations.rs
+++ b/crates/endpoint-model/src/destinations.rs
@@ -41,7 +41,8 @@
     /// The Retry-After of an empty token bucket. An exhausted window or a closed limit gives the time until
     /// it admits calls again, a full queue gives `longest_queue`.
     pub retry_after: RetryAfterRange,
-    /// Service capacity divided by the admitted rate.
+    /// Service capacity of a limit, in calls per second, divided by its rate limit
+    /// ([`SimulatedDestination::rate`]).
     pub capacity_ratio: f64,
     /// Longest queueing delay in nanoseconds: a call that would wait longer is rejected.
     pub longest_queue: Time,
@@ -62,22 +63,22 @@
 /// An endpoint of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SimulatedEndpoint {
-    /// The number of the endpoint.
+    /// The number of the endpoint, unique over all destinations.
     pub endpoint: u32,
-    /// The number of its zone.
+    /// The zone of the endpoint, as an index into the list of zones.
     pub zone: u8,
 }
 
-/// A destination.
+/// The parameters of one destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedDestination {
     /// The number of the destination.
     pub destination: u32,
-    /// The index of its kind.
+    /// The kind of the destination, as an index into the kinds that the simulator was created with.
     pub kind: usize,
     /// Calls per second that the destination admits, or each of its routes where these are independent.
     pub rate: f64,
-    /// Its endpoints.
+    /// The endpoints of the destination.
     pub endpoints: Vec<SimulatedEndpoint>,
     /// Factor by which the mean service times of the classes are multiplied at this destination.
     pub service_time_factor: f64,
--- a/crates/endpoint-model/src/limit.rs
+++ b/crates/endpoint-model/src/limit.rs
@@ -19,9 +19,9 @@
 /// so that the outcome of one call does not change the random numbers of the next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RejectionDraws {
-    /// Decides whether a Retry-After is given.
+    /// A rejection carries a Retry-After if this is below the kind's `retry_after_probability`.
     pub(crate) gives_retry_after: f64,
-    /// Decides how long the Retry-After is.
+    /// Position of an empty token bucket's Retry-After in its range, from 0 (shortest) to 1 (longest).
     pub(crate) length: f64,
 }
 
--- a/crates/endpoint-model/src/limit/slow_start.rs
+++ b/crates/endpoint-model/src/limit/slow_start.rs
@@ -5,8 +5,8 @@
 use linnetcart_conformance::Time;
 use std::collections::VecDeque;
 
-/// Random arrivals cluster, so an overload takes more than the tolerated number of calls by this many
-/// standard deviations of a Poisson count, `sqrt(mean)`.
+/// The calls in a window count as an overload only if their number exceeds the tolerated mean by this many
+/// standard deviations of a Poisson distribution, `sqrt(mean)`: random arrivals form clusters by chance.
 const TOLERATED_DEVIATIONS: f64 = 2.0;
 
 /// Whether a call overloaded a limit.
--- a/crates/endpoint-model/src/simulator/service.rs
+++ b/crates/endpoint-model/src/simulator/service.rs
@@ -33,8 +33,8 @@
     items: Vec<CallItem>,
     /// The positions of its records in `EndpointSimulator::arrivals`, one for each message.
     records: Range<usize>,
-    /// The planned result of each message. They are not answered if the endpoint is down or silent when the
-    /// call finishes.
+    /// The planned result of each message. The call is not answered if the endpoint is down, silent or
+    /// vanished when the call finishes.
     planned: Vec<PlannedResult>,
     /// Whether the call is executed but not answered.
     answer_lost: bool,
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -28,9 +28,11 @@
 /// The environment in which a scenario runs, which determines how precise the recorded times are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timebase {
-    /// Sockets and processes, with the delays of clocks, event loops and a real network.
+    /// Courier processes on sockets: recorded times include the delays of process scheduling, event loops and
+    /// the loopback network.
     Sockets,
-    /// Virtual time, with only the delays of the emulated network and hosts.
+    /// Emulated couriers in virtual time: recorded times include only the delays of the emulated network and
+    /// hosts.
     Emulated,
 }
 
--- a/crates/scenario/src/fleet/model.rs
+++ b/crates/scenario/src/fleet/model.rs
@@ -11,7 +11,8 @@
 /// The simulated slow-start ratio divided by the one that couriers are configured with. The headroom makes
 /// simulated endpoints tolerate somewhat more calls after an outage than the rules require.
 const SLOW_START_HEADROOM: f64 = 1.1;
-/// Makes the random numbers of the simulator independent of those of the fleet.
+/// XORed with the seed of the fleet, so that the random numbers of the simulator are independent of those
+/// that the fleet was drawn with.
 const SIMULATOR_SALT: u64 = 0x5eed;
 
 impl Fleet {
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -55,7 +55,7 @@
 pub struct FinishedRun<T> {
     /// The records of the run.
     pub records: ScenarioRecords,
-    /// The transport that carried it.
+    /// The transport that was passed to the runner.
     pub transport: T,
 }
 
--- a/crates/scenario/src/runner/clients.rs
+++ b/crates/scenario/src/runner/clients.rs
@@ -15,9 +15,11 @@
 use std::collections::BTreeMap;
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// Makes the random numbers of clients independent of those of the fleet.
+/// XORed with the seed of the fleet, so that the random numbers of clients are independent of those that the
+/// fleet was drawn with.
 const CLIENT_SALT: u64 = 0x1ab;
-/// Makes the random numbers of the clients' clocks independent of all others.
+/// XORed with the seed of the fleet, so that the random numbers of the clients' clocks are independent of all
+/// others.
 const CLOCK_SALT: u64 = 0xc11c;
 
 /// A courier that receives more messages than the others.
@@ -34,7 +36,7 @@
     pub(super) submissions: Vec<Submission>,
     /// Number of submissions that wait for an answer.
     pub(super) awaiting_answer: usize,
-    /// Answers to requests that had been answered already or were never made.
+    /// Number of answers that cannot be decoded, or whose correlation id is not that of a waiting request.
     pub(super) stray_answers: u64,
     /// The courier that is favoured at present, if any.
     pub(super) favoured_courier: Option<FavouredCourier>,
--- a/crates/scenario/src/runner/couriers.rs
+++ b/crates/scenario/src/runner/couriers.rs
@@ -14,7 +14,8 @@
     pub(super) ready: bool,
 }
 
-/// The state of a courier process, as far as the runner knows it.
+/// What the runner tracks about one courier: its process, its client connections, and which settings and
+/// endpoint changes it still has to receive.
 #[derive(Default)]
 pub(super) struct CourierProcess {
     pub(super) running: bool,
@@ -44,7 +45,8 @@
         self.document_in_flight.is_none() && !self.needs_complete_list
     }
 
-    /// Returns whether endpoint changes are pending and no document is in flight.
+    /// Returns whether a list document may be sent: the courier is running, it needs the complete list or has
+    /// pending changes, and no document is in flight.
     pub(super) fn can_be_notified(&self) -> bool {
         let has_changes = self.needs_complete_list || !self.pending_changes.is_empty();
         self.running && self.document_in_flight.is_none() && has_changes
--- a/crates/scenario/src/runner/endpoint_list/publication.rs
+++ b/crates/scenario/src/runner/endpoint_list/publication.rs
@@ -67,8 +67,13 @@
         self.put_document(courier, "/list", body, updates);
     }
 
-    /// Handles the answer of a courier to a document that was sent to its control interface. The error is the
-    /// reason that the courier gave for rejecting the document.
+    /// Processes a courier's answer to a settings or list document. Records that the courier has been
+    /// notified of the endpoint states in the document, and sends the changes that became pending meanwhile.
+    /// After the settings, also connects a client to the courier. Ignores the answer if the courier has been
+    /// killed since.
+    ///
+    /// # Errors
+    /// Fails if the courier rejected the document; `outcome` has the reason that the courier gave.
     pub fn put_done(
         &mut self,
         courier: u32,
--- a/crates/scenario/src/runner/endpoints.rs
+++ b/crates/scenario/src/runner/endpoints.rs
@@ -24,7 +24,8 @@
     bytes: Option<Bytes>,
 }
 
-/// What the response to a request needs of it: the correlation id and the API version.
+/// The fields of a Kafka request header that the response depends on: it repeats the correlation id and is
+/// encoded in the API version.
 #[derive(Clone, Copy)]
 struct RequestId {
     correlation: i32,
@@ -189,7 +190,7 @@
 }
 
 impl EndpointConnection {
-    /// Removes and returns the response at the head of the queue, if it is ready.
+    /// Removes and returns the response at the head of the queue, or `None` if its call is not answered yet.
     fn next_answer(&mut self) -> Option<Bytes> {
         let bytes = self.answers.front_mut()?.bytes.take()?;
         self.answers.pop_front();
--- a/crates/scenario/src/runner/endpoints/calls.rs
+++ b/crates/scenario/src/runner/endpoints/calls.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Stores the response to a call, and sends the responses at the head of its connection's queue that are
-    /// ready.
+    /// Stores the response to a call, then sends the stored responses that no unanswered call precedes on the
+    /// connection: Kafka requires responses in the order of the requests.
     fn answer_call(&mut self, call: u64, reply: &Reply) {
         let Some(open) = self.calls.remove(&call) else { return };
         let bytes = open.response(reply);
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -52,7 +52,7 @@
     /// The message classes.
     #[serde(default = "defaults::classes")]
     pub class: Vec<Class>,
-    /// The kinds of destinations.
+    /// Groups of destinations with the same parameters, such as rate limit, capacity and number of endpoints.
     #[serde(default = "defaults::kinds")]
     pub kind: Vec<Kind>,
     /// The faults that are injected.
--- a/crates/scenario/src/scenario/faults.rs
+++ b/crates/scenario/src/scenario/faults.rs
@@ -18,10 +18,10 @@
     /// couriers.
     #[serde(default = "defaults::fault_part")]
     pub part: f64,
-    /// The size of the fault; its meaning depends on the kind.
+    /// The size of the fault; the meaning and the unit depend on the kind, see [`FaultKind`].
     #[serde(default)]
     pub size: f64,
-    /// A second parameter; its meaning depends on the kind.
+    /// A second parameter; the meaning and the unit depend on the kind, see [`FaultKind`].
     #[serde(default)]
     pub extra: f64,
     /// Selects a more severe variant of the kind, for example unanswered calls instead of errors.
--- a/crates/scenario/src/scenario/sections.rs
+++ b/crates/scenario/src/scenario/sections.rs
@@ -214,7 +214,8 @@
     NotIdempotent,
 }
 
-/// A kind of destinations. Arrays of two are ranges from which a value is drawn.
+/// A group of destinations with the same parameters. Arrays of two are ranges, `[lowest, highest]`, from
+/// which a value is drawn uniformly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
@@ -235,10 +236,10 @@
     /// Probability that a rejection carries a Retry-After.
     #[serde(rename = "tells_wait", default = "defaults::retry_after_share")]
     pub retry_after_probability: f64,
-    /// Range of the Retry-After where `limit` is a rate, which is a token bucket.
+    /// The Retry-After of an empty token bucket, where `limit` is `rate`.
     #[serde(rename = "wait_ms", default = "defaults::retry_after_ms")]
     pub retry_after_ms: [f64; 2],
-    /// Service capacity divided by the admitted rate.
+    /// Service capacity of a limit, in calls per second, divided by its rate limit (`rate`).
     #[serde(rename = "spare", default = "defaults::capacity_ratio")]
     pub capacity_ratio: f64,
     /// Longest queueing delay: a call that would wait longer is rejected.
--- a/crates/testbed/src/bench_scenario.rs
+++ b/crates/testbed/src/bench_scenario.rs
@@ -20,9 +20,9 @@
 struct BenchScenario {
     /// Duration, in microseconds.
     length: u64,
-    /// The servers, which correspond to endpoints.
+    /// The servers. Only their number is used: a fault affects `on.len() / servers.len()` of endpoints.
     servers: Vec<IgnoredAny>,
-    /// The balancers, which correspond to couriers.
+    /// The balancers. Only their number is used: a fault affects `on.len() / balancers.len()` of couriers.
     balancers: Vec<IgnoredAny>,
     troubles: Vec<BenchFault>,
 }
--- a/crates/testbed/src/charts/baseline.rs
+++ b/crates/testbed/src/charts/baseline.rs
@@ -28,10 +28,12 @@
     Ok(())
 }
 
-/// CPU time per message, in microseconds, at a count of messages in flight or destinations.
+/// A point of a chart: one row of the baseline.
 #[derive(Clone, Copy)]
 struct Point {
+    /// Number of messages in flight in the part `held`, of destinations in the part `destinations`.
     count: f64,
+    /// CPU time per message, in microseconds.
     cpu_us: f64,
 }
 
--- a/crates/testbed/src/charts/stream.rs
+++ b/crates/testbed/src/charts/stream.rs
@@ -120,8 +120,9 @@
     ranked.into_iter().take(MAX_LINES).collect()
 }
 
-/// Draws the three charts, as `STEM-limits.svg`, `STEM-worth.svg` and `STEM-states.svg` for the file name's
-/// stem.
+/// Draws three charts of the recorded stream `text`: the used share of limits (`STEM-limits.svg`), the late
+/// and lost priority weight (`STEM-worth.svg`) and the states of destinations (`STEM-states.svg`). `STEM` is
+/// the name of `file` without its extension.
 pub(super) fn draw(text: &str, file: &Path, out: &Path) -> anyhow::Result<()> {
     let StreamLines { limit_used, late_or_lost_weight, state } = StreamLines::parse(text)?;
     let stem = file.file_stem().map_or("stream".into(), |stem| stem.to_string_lossy());
--- a/crates/testbed/src/cli/common.rs
+++ b/crates/testbed/src/cli/common.rs
@@ -8,7 +8,8 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Maximum number of couriers that run as processes; larger fleets run in virtual time.
+/// Maximum number of couriers, each a process, in a run on sockets. Subcommands that run on sockets reject
+/// larger fleets; `emulate` runs them in virtual time.
 pub(super) const MAX_COURIERS_ON_SOCKETS: u32 = 64;
 /// Maximum of `--threads`.
 const MAX_THREADS: usize = 256;
@@ -20,7 +21,7 @@
     Passed,
     /// The subcommand completed and a check failed, or an error occurred.
     Failed,
-    /// The command line names something that does not exist.
+    /// The command line names an unknown policy.
     WrongUsage,
     /// The process ran as a courier; this is the courier's exit code.
     Courier(ExitCode),
@@ -68,7 +69,8 @@
         WorkFolder::create(std::env::temp_dir().join(name), Retention::Temporary)
     }
 
-    /// Creates a folder that remains, with any missing parents; an existing one is used as it is.
+    /// Creates the folder `path`, with any missing parents, that is not removed when dropped. The content of
+    /// an existing folder is kept.
     pub(super) fn persistent(path: PathBuf) -> anyhow::Result<WorkFolder> {
         WorkFolder::create(path, Retention::Persistent)
     }
--- a/crates/testbed/src/cli/fault_search.rs
+++ b/crates/testbed/src/cli/fault_search.rs
@@ -9,7 +9,7 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 
-/// The progress line is updated after every this many runs.
+/// Number of runs between two updates of the progress line.
 const PROGRESS_INTERVAL: u64 = 16;
 
 #[derive(Debug, clap::Args)]
--- a/crates/testbed/src/experiment/plan/factors.rs
+++ b/crates/testbed/src/experiment/plan/factors.rs
@@ -68,8 +68,9 @@
     Ok(())
 }
 
-/// Replaces the faults of a scenario by those of the scenario `source`, whose starts and durations are scaled
-/// by the ratio of the two scenarios' durations. `none` removes all faults, `as-written` keeps them.
+/// Replaces the faults of `scenario` by those of the scenario that `source` names. The start and the duration
+/// of each fault are multiplied by `scenario.seconds / source.seconds`, so that they stay the same fractions
+/// of the run. Two values of `source` name no scenario: `none` removes all faults, `as-written` keeps them.
 fn set_faults(scenario: &mut Scenario, source: &str) -> anyhow::Result<()> {
     match source {
         "as-written" => {}
--- a/crates/testbed/src/fault_search.rs
+++ b/crates/testbed/src/fault_search.rs
@@ -1,6 +1,8 @@
-//! Fault search, by the method of property-based testing: draws random faults, runs them in virtual time, and
-//! looks for a scenario that breaks an invariant, or for the one on which the tested policy falls behind the
-//! baselines most. The scenario found is shrunk to the faults that matter.
+//! Fault search, by the method of property-based testing: draws scenarios with random faults and runs them in
+//! virtual time. It looks for a scenario that breaks an invariant, or for the one with the largest
+//! `max(0, baseline - policy)`: the fractions of the requested priority weight that the best baseline and the
+//! tested policy deliver. The scenario found is shrunk: its faults, traffic and fleet are reduced as long as
+//! the problem persists.
 //!
 //! The scenario of run k depends on the seed of the search and on k alone, so a search finds the same
 //! scenario with any number of threads.
--- a/crates/testbed/src/fault_search/draw.rs
+++ b/crates/testbed/src/fault_search/draw.rs
@@ -1,4 +1,5 @@
-//! Draws scenarios at random: independent ones, and mutations of another one.
+//! Random generation of scenarios: the base scenario with random faults added, or a scenario that was drawn
+//! before with one random change (a mutation).
 
 use super::FaultSearch;
 use crate::emulated_run::Recipe;
--- a/crates/testbed/src/fault_search/shrink.rs
+++ b/crates/testbed/src/fault_search/shrink.rs
@@ -47,14 +47,14 @@
     }
 }
 
-/// Collects recipes that each differ from one recipe in a single step.
+/// Collects candidates for shrinking: copies of the recipe `from`, each with one change.
 struct Steps<'a> {
     from: &'a Recipe,
     smaller: Vec<Recipe>,
 }
 
 impl Steps<'_> {
-    /// Adds a copy of the recipe with a change, unless the change has no effect.
+    /// Applies `change` to the scenario of a copy of `from`, and collects the copy if it differs from `from`.
     fn add(&mut self, change: impl FnOnce(&mut Scenario)) {
         let mut recipe = self.from.clone();
         change(&mut recipe.scenario);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Adds a copy of the recipe with a change of one fault.
+    /// As [`Steps::add`], with `change` applied to the fault at position `index`.
     fn add_fault_change(&mut self, index: usize, change: impl FnOnce(&mut FaultSpec)) {
         self.add(|scenario| change(&mut scenario.faults[index]));
     }
