--- a/crates/emulator/src/connections.rs
+++ b/crates/emulator/src/connections.rs
@@ -45,7 +45,8 @@
     pub kind: SendKind,
 }
 
-/// An id that a courier assigned; it is unique only together with the courier's number.
+/// The id of a client or upstream connection, with the number of the courier that uses the id. Couriers
+/// assign ids independently, so only both together are unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LocalId<Id> {
     courier: u32,
@@ -64,7 +65,8 @@
 }
 
 impl ConnectionTable {
-    /// Opens a connection of a client. The courier's id of the client is the token.
+    /// Opens a connection from a client to a courier at `now`, and returns its token, which is also the
+    /// courier's id of the client.
     pub fn open_from_client(&mut self, now: Time, program: CourierIncarnation) -> Token {
         let token = self.next_token();
         let courier = program.courier;
@@ -72,7 +74,8 @@
         self.insert(token, Connection::new(program, Peer::Client(token), now))
     }
 
-    /// Opens a connection to an endpoint. The courier identifies the connection by `upstream`.
+    /// Opens a connection from a courier to an endpoint at `now`, and returns its token. `upstream` is the
+    /// courier's id of the connection.
     pub fn open_to_endpoint(
         &mut self,
         now: Time,
@@ -102,32 +105,36 @@
         self.connections.get(&token)
     }
 
-    /// Returns the connection that the courier identifies by this client id.
+    /// Returns the token of the connection that the courier identifies by this client id, or `None` if there
+    /// is none.
     pub fn of_client(&self, courier: u32, client: ClientId) -> Option<Token> {
         self.by_client.get(&LocalId { courier, id: client }).copied()
     }
 
-    /// Returns the connection that the courier identifies by this upstream connection id.
+    /// Returns the token of the connection that the courier identifies by this upstream connection id, or
+    /// `None` if there is none.
     pub fn of_upstream(&self, courier: u32, upstream: UpstreamId) -> Option<Token> {
         self.by_upstream.get(&LocalId { courier, id: upstream }).copied()
     }
 
-    /// Returns all connections of a courier, ordered by token.
+    /// Returns the tokens of all connections of a courier, in ascending order.
     pub fn of_courier(&self, courier: u32) -> Vec<Token> {
         self.by_courier.get(&courier).into_iter().flatten().copied().collect()
     }
 
-    /// Returns the number of connections.
+    /// Returns the number of connections of which at least one end is open.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Blocks directions of connections until [`ConnectionTable::end_partition`] of the same fault.
+    /// Begins a partition, which blocks these directions until [`ConnectionTable::end_partition`] is called
+    /// with the same fault number.
     pub fn begin_partition(&mut self, fault: usize, blocks: Vec<Block>) {
         self.faults.begin_partition(fault, blocks);
     }
 
-    /// Ends a partition. Returns the streams that are no longer blocked and have queued segments.
+    /// Ends the partition with this fault number. Returns the streams that have queued segments and that no
+    /// other partition blocks.
     pub fn end_partition(&mut self, fault: usize) -> Vec<StreamId> {
         self.faults.end_partition(fault);
         let mut unblocked = Vec::new();
@@ -142,26 +149,26 @@
         unblocked
     }
 
-    /// Adds a delay in each direction to the connections of these couriers until
-    /// [`ConnectionTable::end_slowdown`] of the same fault.
+    /// Adds `extra_delay` nanoseconds in each direction to the connections of these couriers, until
+    /// [`ConnectionTable::end_slowdown`] is called with the same fault number.
     pub fn begin_slowdown(&mut self, fault: usize, couriers: Vec<u32>, extra_delay: Time) {
         self.faults.begin_slowdown(fault, couriers, extra_delay);
     }
 
-    /// Ends a slowdown.
+    /// Removes the additional delay of the slowdown with this fault number.
     pub fn end_slowdown(&mut self, fault: usize) {
         self.faults.end_slowdown(fault);
     }
 
-    /// Breaks a connection: only this fraction of the next data segment in each direction still arrives. Does
-    /// nothing if the connection broke before.
+    /// Breaks a connection: of the next data segment in each direction only the first part still arrives,
+    /// given as a fraction from 0 to 1 of its bytes. Does nothing if the connection is already broken.
     pub fn break_connection(&mut self, token: Token, surviving_fraction: PerDirection<f64>) {
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.surviving_fraction.get_or_insert(surviving_fraction);
         }
     }
 
-    /// Marks the surviving data of a broken connection as delivered: all further data of this direction is
+    /// Sets the surviving fraction of a broken connection to 0 in this direction, so that all further data is
     /// lost.
     pub fn end_surviving_data(&mut self, token: Token, direction: Direction) {
         let connection = self.connections.get_mut(&token);
@@ -170,7 +177,7 @@
         }
     }
 
-    /// Removes and returns the queued segments of a stream, to be sent again.
+    /// Removes and returns the segments of a stream that a partition had queued, to be sent now.
     pub fn release(&mut self, stream: StreamId) -> VecDeque<QueuedSegment> {
         match self.connections.get_mut(&stream.token) {
             Some(connection) => connection.streams.get_mut(stream.direction).release(),
@@ -204,7 +211,8 @@
         Some(stream.last_arrival)
     }
 
-    /// Records the arrival of a segment that was sent at `sent_at`.
+    /// Records the travel time `now - sent_at` of a segment that arrives, and whether it brought data to the
+    /// courier.
     pub fn note_arrival(
         &mut self,
         now: Time,
@@ -220,17 +228,20 @@
         }
     }
 
-    /// Returns the travel time of the last segment from the courier, in nanoseconds.
+    /// Returns the travel time, in nanoseconds, of the segment from the courier that arrived last, with any
+    /// wait for a partition to end; 0 if there is no such segment or connection.
     pub fn last_transit_from_courier(&self, token: Token) -> Time {
         self.courier_stream(token).map_or(0, |stream| stream.last_transit)
     }
 
-    /// Returns the bytes sent by the courier that its socket buffer has accepted.
+    /// Returns the number of bytes from the courier that its socket buffer has accepted; 0 if there is no
+    /// such connection.
     pub fn bytes_accepted(&self, token: Token) -> u64 {
         self.courier_stream(token).map_or(0, connection::Stream::bytes_accepted)
     }
 
-    /// Returns the bytes sent by the courier that do not fit into its socket buffer.
+    /// Returns the number of bytes from the courier that wait because its socket buffer is full; 0 if there
+    /// is no such connection.
     pub fn backlog(&self, token: Token) -> u64 {
         self.courier_stream(token).map_or(0, connection::Stream::backlog)
     }
@@ -239,8 +250,9 @@
         Some(&self.connections.get(&token)?.streams.from_courier)
     }
 
-    /// Closes one end. Returns whether the other side must be notified. Segments that were sent before still
-    /// arrive, except those queued during a partition, which are lost.
+    /// Closes one end. Returns whether the other side must be notified, which it must if both ends were open.
+    /// Segments that this end sent before still arrive, except data that a partition has queued, which is
+    /// lost.
     pub fn close_end(&mut self, token: Token, side: Side) -> bool {
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let other = match side {
--- a/crates/emulator/src/connections/connection.rs
+++ b/crates/emulator/src/connections/connection.rs
@@ -44,7 +44,7 @@
     Endpoint {
         /// The id by which the courier identifies the connection.
         upstream: UpstreamId,
-        /// The endpoint.
+        /// The number of the endpoint.
         endpoint: u32,
     },
 }
@@ -85,9 +85,9 @@
 /// One direction of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamId {
-    /// The connection.
+    /// The token of the connection.
     pub token: Token,
-    /// The direction.
+    /// The direction of the stream.
     pub direction: Direction,
 }
 
@@ -128,9 +128,10 @@
 /// One direction of a connection.
 #[derive(Debug, Default)]
 pub(super) struct Stream {
-    /// When the last segment arrives. Later ones arrive no earlier, which keeps them in order.
+    /// Arrival time of the segment sent last, in nanoseconds on the network's clock. A segment sent later
+    /// arrives no earlier, which keeps segments in order.
     pub(super) last_arrival: Time,
-    /// Data bytes sent so far, with those in `queued`.
+    /// Number of data bytes sent so far, including those in `queued`.
     pub(super) bytes_sent: u64,
     /// Segments that wait while a partition blocks the direction.
     pub(super) queued: VecDeque<QueuedSegment>,
@@ -160,12 +161,14 @@
         self.queued_bytes = 0;
     }
 
-    /// Returns the bytes that do not fit into the sender's socket buffer.
+    /// Returns the number of queued data bytes that exceed the sender's socket buffer
+    /// ([`SOCKET_BUFFER_BYTES`]).
     pub(super) fn backlog(&self) -> u64 {
         self.queued_bytes.saturating_sub(SOCKET_BUFFER_BYTES)
     }
 
-    /// Returns the bytes that the sender's socket buffer has accepted, sent or still queued.
+    /// Returns the number of data bytes that the sender's socket buffer has accepted: those sent, and those
+    /// queued up to [`SOCKET_BUFFER_BYTES`].
     pub(super) fn bytes_accepted(&self) -> u64 {
         self.bytes_sent - self.backlog()
     }
@@ -174,11 +177,11 @@
 /// A connection between a courier and a client or endpoint.
 #[derive(Debug)]
 pub struct Connection {
-    /// The courier.
+    /// The number of the courier.
     pub courier: u32,
-    /// The incarnation of the courier.
+    /// The incarnation of the courier that the connection belongs to.
     pub incarnation: u32,
-    /// The other end.
+    /// The client or endpoint at the other end.
     pub peer: Peer,
     /// When the connection was requested, in nanoseconds on the network's clock.
     pub opened_at: Time,
@@ -187,7 +190,8 @@
     pub(super) open_at_courier: bool,
     pub(super) open_at_peer: bool,
     pub(super) streams: PerDirection<Stream>,
-    /// If the connection broke, the fraction of the next data segment that still arrives.
+    /// For a broken connection, the fraction of the next data segment in each direction that still arrives,
+    /// from 0 to 1; `None` while the connection is not broken.
     pub(super) surviving_fraction: Option<PerDirection<f64>>,
 }
 
@@ -211,13 +215,13 @@
         CourierIncarnation { courier: self.courier, incarnation: self.incarnation }
     }
 
-    /// Returns the fraction of the next data segment in this direction that still arrives if the connection
-    /// broke, and `None` if it did not break.
+    /// Returns the fraction of the next data segment in this direction that still arrives, from 0 to 1, or
+    /// `None` if the connection is not broken.
     pub fn surviving_fraction(&self, direction: Direction) -> Option<f64> {
         self.surviving_fraction.as_ref().map(|fraction| *fraction.get(direction))
     }
 
-    /// Returns whether the receiver of this direction has its end open.
+    /// Returns whether the end that receives in this direction is open.
     pub fn is_receiver_open(&self, direction: Direction) -> bool {
         match direction {
             Direction::ToCourier => self.open_at_courier,
--- a/crates/emulator/src/connections/faults.rs
+++ b/crates/emulator/src/connections/faults.rs
@@ -1,4 +1,5 @@
-//! Network faults that last for a time: partitions and slowdowns, each identified by the number of its fault.
+//! Network faults that last for a time: partitions and slowdowns, each identified by the position of the
+//! fault in the scenario.
 
 use super::connection::{Connection, Direction, Peer};
 use linnetcart_conformance::Time;
@@ -14,9 +15,9 @@
     pub clients: bool,
     /// Whether the courier's connections with endpoints are blocked.
     pub endpoints: bool,
-    /// Whether the direction to the courier is blocked.
+    /// Whether segments to the courier are blocked.
     pub to_courier: bool,
-    /// Whether the direction from the courier is blocked.
+    /// Whether segments from the courier are blocked.
     pub from_courier: bool,
 }
 
@@ -71,7 +72,8 @@
         blocks.any(|block| block.applies_to(connection, direction))
     }
 
-    /// Returns the additional one-way delay of a courier's connections: the sum over all slowdowns in force.
+    /// Returns the additional one-way delay of a courier's connections, in nanoseconds: the sum over all
+    /// slowdowns in force.
     pub(super) fn extra_delay(&self, courier: u32) -> Time {
         let slowdowns = self.slowdowns.values();
         let applying = slowdowns.filter(|slowdown| slowdown.couriers.contains(&courier));
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct SnapshotFile {
     snapshot: Snapshot,
-    /// The fraction of the file that is readable, from its start.
+    /// The readable part of the file, as a fraction from its start: 1 for an undamaged file.
     readable_fraction: f64,
 }
 
@@ -35,12 +35,13 @@
 pub struct Disk {
     file: Option<SnapshotFile>,
     unfinished: Option<UnfinishedWrite>,
-    /// Number of damaged snapshots that were set aside.
+    /// Number of damaged snapshots that [`Disk::load`] has set aside.
     pub set_aside: u32,
 }
 
 impl Disk {
-    /// Replaces the snapshot. Until [`Disk::sync`] a crash may undo it.
+    /// Replaces the snapshot file. Until [`Disk::sync`] is called, a crash may restore the file that was
+    /// replaced.
     pub fn save(&mut self, snapshot: &Snapshot) {
         let replaced = self.file.replace(SnapshotFile { snapshot: snapshot.clone(), readable_fraction: 1.0 });
         // A crash undoes all unfinished writes, so the first one determines which file remains.
@@ -52,7 +53,8 @@
         self.unfinished = None;
     }
 
-    /// Handles a crash of the program, possibly during a write.
+    /// Handles a crash of the program. If writes are not durable yet and the crash came before the rename,
+    /// restores the file that the first of them replaced.
     pub fn crash(&mut self, crash: Crash) {
         let unfinished = self.unfinished.take();
         if let (Some(write), Crash::BeforeRename) = (unfinished, crash) {
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -54,14 +54,14 @@
         self.scheduled.peek().map(|Reverse(next)| next.position.due)
     }
 
-    /// Schedules an event. An event in the past is scheduled for the present.
+    /// Schedules an event for `due`, or for the present time if `due` is in the past.
     pub(crate) fn schedule(&mut self, due: Time, event: E) {
         self.last_sequence += 1;
         let position = EventPosition { due: due.max(self.now), sequence: self.last_sequence };
         self.scheduled.push(Reverse(ScheduledEvent { position, event }));
     }
 
-    /// Removes and returns the next event, and sets the clock to its time.
+    /// Removes and returns the next event, and sets the clock to the time at which the event is due.
     pub(crate) fn pop(&mut self) -> Option<E> {
         let Reverse(next) = self.scheduled.pop()?;
         self.now = next.position.due;
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -40,7 +40,7 @@
     pub rejected_clients: Vec<ClientId>,
     /// Replies of the control interface.
     pub control_replies: Vec<Result<(), String>>,
-    /// Duration of the iteration, in nanoseconds.
+    /// How long the iteration keeps the event loop busy, in nanoseconds.
     pub duration: Time,
 }
 
@@ -49,20 +49,21 @@
 pub struct Host {
     /// The number of the incarnation.
     pub incarnation: u32,
-    /// When the next iteration is scheduled, or `None` if none is.
+    /// When the next iteration is scheduled, on the network's clock; `None` if no iteration is scheduled.
     pub next_iteration: Option<Time>,
     program: Program,
     inbox: Vec<Input>,
     clock: HostClock,
-    /// When the last iteration began.
+    /// When the last iteration began, on the network's clock.
     last_iteration: Time,
-    /// When the last iteration ends; the next one begins no earlier.
+    /// When the last iteration ends, on the network's clock; the next one begins no earlier.
     busy_until: Time,
     stalled_since: Option<Time>,
     /// The start of the earliest stall that ended since the last iteration.
     previous_stall: Option<Time>,
     draining: bool,
-    /// When the last snapshot write ends; a crash before that may undo it.
+    /// When the last snapshot write ends, on the network's clock; a crash before this time may undo the
+    /// write.
     snapshot_write_until: Time,
 }
 
@@ -107,8 +108,8 @@
         self.inbox.push(input);
     }
 
-    /// Returns when the event loop has to run next if no further input arrives, or `None` if the process is
-    /// suspended or has nothing to do.
+    /// Returns when the event loop has to run next if no further input arrives, on the network's clock;
+    /// `None` if the process is suspended or has nothing to do.
     pub fn next_iteration_due(&self) -> Option<Time> {
         if self.is_stalled() {
             return None;
@@ -128,8 +129,8 @@
         now < self.snapshot_write_until
     }
 
-    /// Begins the graceful shutdown, as SIGTERM does. Messages still in flight after `timeout` are answered
-    /// then.
+    /// Begins the graceful shutdown, as SIGTERM does. Messages that are still in flight after `timeout`
+    /// nanoseconds get their final answer at that time.
     pub fn begin_drain(&mut self, now: Time, timeout: Time) {
         self.draining = true;
         let drain_by = self.clock.monotonic(now) + timeout;
@@ -143,12 +144,13 @@
         !self.draining
     }
 
-    /// Returns whether no input, message or notification is outstanding.
+    /// Returns whether all inputs are processed, every accepted message has its final answer and every
+    /// request its response.
     pub fn is_done(&self) -> bool {
         self.inbox.is_empty() && self.program.core.as_ref().is_none_or(Core::is_done)
     }
 
-    /// Suspends the process, as SIGSTOP does.
+    /// Suspends the process at `now`, as SIGSTOP does.
     pub fn stall(&mut self, now: Time) {
         self.stalled_since.get_or_insert(now);
     }
@@ -158,7 +160,8 @@
         self.stalled_since.is_some()
     }
 
-    /// Resumes the process. Its next iteration processes all inputs that arrived meanwhile.
+    /// Resumes the process, as SIGCONT does. The next iteration processes all inputs that arrived while the
+    /// process was suspended.
     pub fn resume(&mut self) {
         let Some(since) = self.stalled_since.take() else { return };
         let earliest = self.previous_stall.map_or(since, |previous| previous.min(since));
@@ -196,9 +199,9 @@
     }
 
     /// Returns the earliest time at which an input of this iteration can have arrived, on the host's
-    /// monotonic clock: the last poll before it. An idle loop polls its sockets at least every
-    /// [`MAX_POLL_INTERVAL`] until the process is suspended; otherwise the last poll was at the beginning of
-    /// the last iteration.
+    /// monotonic clock: the time of the last poll before this iteration. An idle loop polls its sockets at
+    /// least every [`MAX_POLL_INTERVAL`] until the process is suspended; otherwise the last poll was at the
+    /// beginning of the last iteration.
     fn earliest_arrival(&mut self, now: Time) -> Time {
         let polled_until = self.previous_stall.take().unwrap_or(now);
         let was_polling = polled_until > self.busy_until + MAX_POLL_INTERVAL;
--- a/crates/emulator/src/host/clock.rs
+++ b/crates/emulator/src/host/clock.rs
@@ -16,7 +16,8 @@
     pub monotonic_ahead: Time,
     /// Drift of the monotonic clock in parts per million; positive if it runs fast.
     pub drift_ppm: i64,
-    /// Offset of the wall clock in nanoseconds; negative if it is behind.
+    /// Offset of the wall clock from the true wall-clock time, in nanoseconds; negative if the clock is
+    /// behind.
     pub wall_offset: i64,
 }
 
@@ -49,7 +50,8 @@
         self.initial_reading + elapsed.saturating_add_signed(drift)
     }
 
-    /// Returns the reading of the wall clock at a time of the network's clock.
+    /// Returns the reading of the wall clock at a time of the network's clock, in nanoseconds since 1970:
+    /// `WALL_CLOCK_START + now + wall_offset`.
     pub(super) fn wall(&self, now: Time) -> Time {
         (WALL_CLOCK_START + now).saturating_add_signed(self.wall_offset)
     }
--- a/crates/emulator/src/host/input.rs
+++ b/crates/emulator/src/host/input.rs
@@ -26,18 +26,18 @@
     UpstreamConnectFailed(UpstreamId),
     /// A connection to an endpoint ended.
     UpstreamDisconnected {
-        /// The connection.
+        /// The courier's id of the connection.
         upstream: UpstreamId,
-        /// Bytes for the endpoint that the socket's send buffer had accepted.
+        /// Number of bytes for the endpoint that the socket's send buffer had accepted.
         bytes_written: u64,
     },
     /// Bytes arrived from an endpoint.
     UpstreamReceived(UpstreamId, Bytes),
     /// A document was put to the control interface.
     ControlPut {
-        /// The path of the document.
+        /// The path that the document is put to: `/settings` or `/list`.
         path: &'static str,
-        /// The document.
+        /// The text of the document, JSON.
         body: String,
     },
 }
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Puts a document to the control interface. The error is the status and text of the reply.
+    /// Puts a document to the control interface. The error is the HTTP status and the text of a reply whose
+    /// status is not 200.
     fn process_control_put(
         &mut self,
         path: &'static str,
--- a/crates/emulator/src/model.rs
+++ b/crates/emulator/src/model.rs
@@ -15,7 +15,7 @@
     /// Durations of the work of a courier's event loop.
     #[serde(rename = "pace")]
     pub loop_costs: LoopCosts,
-    /// One-way delay of a segment.
+    /// One-way delay of each segment.
     pub delay: DelayDistribution,
     /// Largest drift of a monotonic clock, fast or slow, in parts per million.
     #[serde(rename = "drift")]
@@ -49,7 +49,7 @@
     /// Additional duration for each input and each output.
     #[serde(rename = "each")]
     pub per_item: Time,
-    /// Additional duration for writing a snapshot.
+    /// Additional duration for each control document, which causes a snapshot to be written.
     #[serde(rename = "save")]
     pub snapshot_write: Time,
 }
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -29,10 +29,10 @@
 /// The first byte of every endpoint's address, 10.x.y.z. The other bytes are the endpoint's number.
 const ADDRESS_PREFIX: u8 = 10;
 /// XORed with the seed of the fleet to seed the random number generator of delays, broken connections and
-/// crashes, so that it is independent of all others.
+/// crashes, so that this generator is independent of all others.
 const NETWORK_SEED_MASK: u64 = 0x3e7;
-/// XORed with the seed of the fleet to seed the random number generator of clock deviations, so that it is
-/// independent of all others.
+/// XORed with the seed of the fleet to seed the random number generator of clock deviations, so that this
+/// generator is independent of all others.
 const CLOCK_SEED_MASK: u64 = 0xc10c;
 
 /// A network event that the scenario has to process.
@@ -40,7 +40,7 @@
 pub enum ScenarioInput {
     /// A courier connected to an endpoint.
     Accepted {
-        /// The endpoint.
+        /// The number of the endpoint.
         endpoint: u32,
         /// The connection.
         token: Token,
@@ -54,11 +54,11 @@
         /// The bytes.
         bytes: Bytes,
     },
-    /// A connection ended.
+    /// A connection ended or was refused.
     Disconnected(Token),
     /// A control interface replied.
     ControlReply {
-        /// The courier.
+        /// The number of the courier.
         courier: u32,
         /// The incarnation that the document was sent to.
         incarnation: u32,
@@ -67,16 +67,18 @@
     },
 }
 
-/// The results of a run, besides the records of the scenario.
+/// The results of a run that the network collects; the scenario runner has the records of clients and
+/// endpoints.
 #[derive(Debug)]
 pub struct NetworkResults {
-    /// Failed connections of couriers to endpoints, on the network's clock.
+    /// Failed connections of couriers to endpoints, with times on the network's clock.
     pub failed_connects: Vec<FailedConnect>,
-    /// The trace, if there is one, on the network's clock.
+    /// The delivery events that were traced, with times on the network's clock; `None` if the run has no
+    /// trace.
     pub trace: Option<DeliveryTrace>,
     /// SHA-256 of all segments that arrived, with their times, in hexadecimal.
     pub digest: String,
-    /// Number of events processed.
+    /// Number of events of the event queue that were processed.
     pub events: u64,
     /// The network's clock at the end, in nanoseconds.
     pub virtual_time: Time,
@@ -160,12 +162,12 @@
         self.events.now()
     }
 
-    /// Advances the clock to a time before which no event is due.
+    /// Advances the network's clock to `now`. The caller ensures that no event is due before `now`.
     pub fn advance_clock(&mut self, now: Time) {
         self.events.set_now(self.now().max(now));
     }
 
-    /// Returns when the next event is due, or `None` if there is none.
+    /// Returns when the next event is due, on the network's clock, or `None` if there is none.
     pub fn next_event_at(&self) -> Option<Time> {
         self.events.next_due()
     }
@@ -206,14 +208,14 @@
         }
     }
 
-    /// Sends a segment now.
+    /// Sends a segment for the first time.
     fn transmit(&mut self, token: Token, direction: Direction, segment: Segment) {
         let sent_at = self.now();
         self.transmit_as(SendKind::First, sent_at, token, direction, segment);
     }
 
-    /// Sends a segment now. Its sender sent it at `sent_at`, which is earlier if the segment was queued until
-    /// a partition ended.
+    /// Sends a segment now. `sent_at` is when the sender passed it to its kernel, which is earlier if the
+    /// segment was queued until a partition ended.
     fn transmit_as(
         &mut self,
         kind: SendKind,
@@ -229,15 +231,15 @@
         }
     }
 
-    /// Closes one end of a connection, and notifies the other side.
+    /// Closes one end of a connection, and notifies the other side if that end is still open.
     fn close(&mut self, token: Token, side: Side) {
         if self.connections.close_end(token, side) {
             self.transmit(token, side.sending_direction(), Segment::Close);
         }
     }
 
-    /// Records a connection that ends as a failed connect, if the courier never received data from its
-    /// endpoint.
+    /// Records the end of a connection to an endpoint as a failed connect, if the courier has received no
+    /// data on the connection. Does nothing for a connection of a client.
     fn record_if_connect_failed(&mut self, token: Token) {
         let Some(connection) = self.connections.get(token) else { return };
         if connection.courier_received_data {
--- a/crates/emulator/src/network/arrivals.rs
+++ b/crates/emulator/src/network/arrivals.rs
@@ -62,8 +62,8 @@
         self.digest.update(data);
     }
 
-    /// Returns what arrives of a segment on a connection that may have broken. After a break, only a prefix
-    /// of the next data segment and the close arrive.
+    /// Returns the part of a segment that arrives, or `None` if nothing does. On an intact connection all of
+    /// it arrives; after a break only a prefix of the next data segment and the close do.
     fn truncate_if_broken(
         &mut self,
         token: Token,
--- a/crates/emulator/src/network/hosts.rs
+++ b/crates/emulator/src/network/hosts.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 impl Network<'_> {
-    /// Begins the graceful shutdown of all couriers. Messages still in flight after `timeout` are answered
-    /// then.
+    /// Resumes all couriers that are suspended, and begins the graceful shutdown of all couriers. Messages
+    /// that are still in flight after `timeout` nanoseconds get their final answer at that time.
     pub fn begin_drain(&mut self, timeout: Time) {
         let now = self.now();
         let couriers: Vec<u32> = self.hosts.keys().copied().collect();
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Returns the couriers with outstanding inputs, messages or notifications.
+    /// Returns the couriers that still have inputs to process, messages without a final answer or requests
+    /// without a response.
     pub fn unfinished_couriers(&self) -> Vec<u32> {
         let unfinished = self.hosts.iter().filter(|(_, host)| !host.is_done());
         unfinished.map(|(&courier, _)| courier).collect()
@@ -38,7 +39,7 @@
         self.hosts.get_mut(&program.courier).filter(|host| host.incarnation == program.incarnation)
     }
 
-    /// Passes an input to a host, unless the host is no longer in this incarnation.
+    /// Passes an input to the host of a courier, unless the courier is down or in another incarnation.
     pub(super) fn deliver_to_host(&mut self, program: CourierIncarnation, input: Input) {
         if let Some(host) = self.host(program) {
             host.receive(input);
--- a/crates/emulator/src/network/transport.rs
+++ b/crates/emulator/src/network/transport.rs
@@ -12,7 +12,8 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// The incarnation of connections to a courier that is down. No courier reaches it, so they are refused.
+/// The incarnation of connections to a courier that is down. No courier reaches this number, so the
+/// connections are refused.
 const NO_INCARNATION: u32 = u32::MAX;
 
 impl Network<'_> {
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -27,7 +27,7 @@
     pub policy: PolicyFactory,
     /// The timing of hosts and network.
     pub model: Model,
-    /// The trace that records delivery events, if one is wanted.
+    /// Records the delivery events of one message or of all; `None` for a run without trace.
     pub trace: Option<DeliveryTrace>,
 }
 
@@ -44,13 +44,14 @@
     pub records: ScenarioRecords,
     /// SHA-256 of all segments that arrived, with their times. Two runs with the same digest were identical.
     pub digest: String,
-    /// Number of events processed.
+    /// Number of events of the event queue that were processed.
     pub events: u64,
     /// Virtual time from the start of the couriers to the end of their shutdown, in nanoseconds.
     pub virtual_time: Time,
     /// The highest number of connections open at the same time.
     pub peak_connections: usize,
-    /// The trace from the options, on the scenario's clock.
+    /// The trace from the options, with times in nanoseconds since the traffic began; `None` for a run
+    /// without trace.
     pub trace: Option<DeliveryTrace>,
 }
 
@@ -63,7 +64,7 @@
 
 struct Emulation<'a> {
     runner: ScenarioRunner<'a, Network<'a>>,
-    /// When the scenario's clock began, on the network's clock.
+    /// When the traffic and the scenario's clock began, in nanoseconds on the network's clock.
     scenario_start: Time,
 }
 
--- a/crates/emulator/src/trace.rs
+++ b/crates/emulator/src/trace.rs
@@ -8,13 +8,14 @@
 /// A delivery event, with its time and the courier that it happened in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TracedEvent {
-    /// When the event loop iteration of the event began, in nanoseconds.
+    /// When the event loop iteration of the event began, in nanoseconds: on the network's clock, or after
+    /// [`DeliveryTrace::rebase`] since the start given there.
     pub at: Time,
     /// The number of the courier.
     pub courier: u32,
-    /// The number of the courier's incarnation.
+    /// The number of the courier's incarnation, counted from 0.
     pub incarnation: u32,
-    /// The event.
+    /// The event, as the courier reported it.
     pub event: DeliveryEvent,
 }
 
@@ -33,7 +34,7 @@
     /// The name of each traced message, by the number that a courier assigned to it. The name is the same in
     /// all couriers.
     names: BTreeMap<LocalMessage, u64>,
-    /// The events in order.
+    /// The traced events in order of time.
     pub events: Vec<TracedEvent>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Converts all times to a clock that began at `start`.
+    /// Subtracts `start` from all times, which converts them to a clock that began at `start`.
     pub fn rebase(&mut self, start: Time) {
         for traced in &mut self.events {
             traced.at = traced.at.saturating_sub(start);
--- a/crates/endpoint-model/src/calls.rs
+++ b/crates/endpoint-model/src/calls.rs
@@ -16,7 +16,7 @@
 pub struct Caller {
     /// The number of the courier.
     pub courier: u32,
-    /// How many times the courier had been restarted when it made the call.
+    /// How many times the courier had been killed before it made the call.
     pub incarnation: u32,
 }
 
@@ -28,7 +28,7 @@
     pub caller: Caller,
     /// One-way network delay from the courier to the endpoint, in nanoseconds; 0 if it is not known.
     pub travelled: Time,
-    /// The endpoint that the call reached.
+    /// The number of the endpoint that the call reached.
     pub endpoint: u32,
     /// The messages of the call.
     pub items: &'a [CallItem],
@@ -68,9 +68,9 @@
 pub struct Reply {
     /// The status of each message of the call, in order.
     pub statuses: Vec<ItemStatus>,
-    /// The Retry-After in nanoseconds; 0 if none is given.
+    /// The Retry-After in nanoseconds; 0 if the answer carries none.
     pub retry_after: Time,
-    /// The load, if the endpoint reports it.
+    /// The load that the endpoint reports; `None` if destinations of its kind report no load.
     pub load: Option<ReportedLoad>,
 }
 
@@ -79,7 +79,8 @@
 pub enum CallStep {
     /// Send this answer.
     Answer(Reply),
-    /// Call [`EndpointSimulator::finish_call`](crate::EndpointSimulator::finish_call) at this time.
+    /// Call [`EndpointSimulator::finish_call`](crate::EndpointSimulator::finish_call) at this time, in
+    /// nanoseconds on the clock of the run.
     FinishAt(Time),
     /// Never answer the call.
     Silent,
--- a/crates/endpoint-model/src/deduplication.rs
+++ b/crates/endpoint-model/src/deduplication.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScopedKey {
     destination: u32,
-    /// The zone, where only the endpoints of one zone share their keys.
+    /// The zone of the endpoint if only the endpoints of one zone share their keys, otherwise `None`.
     zone: Option<u8>,
     message: u64,
 }
--- a/crates/endpoint-model/src/destinations.rs
+++ b/crates/endpoint-model/src/destinations.rs
@@ -34,9 +34,9 @@
     pub name: String,
     /// The quota by which the destinations limit calls.
     pub limit: LimitKind,
-    /// Whether rejected calls use up the quota too.
+    /// Whether calls that are rejected for lack of quota use up quota too.
     pub rejected_calls_count: bool,
-    /// Probability that a rejection carries a Retry-After.
+    /// Probability that the answer to a rejected call carries a Retry-After.
     pub retry_after_probability: f64,
     /// The Retry-After of an empty token bucket. An exhausted window or a closed limit gives the time until
     /// it admits calls again, a full queue gives `longest_queue`.
@@ -48,15 +48,18 @@
     pub longest_queue: Time,
     /// Coefficient of variation of the service times: standard deviation divided by mean.
     pub service_time_variation: f64,
-    /// Most connections that an endpoint accepts; 0 for any number.
+    /// Most connections that an endpoint has open at the same time; further ones are refused. 0 for no limit.
     pub max_connections: usize,
-    /// Whether endpoints are independent routes, each with a limit of its own, instead of sharing one.
+    /// Whether each endpoint is an independent route with its own limit. Otherwise all endpoints of a
+    /// destination share one limit.
     pub independent_routes: bool,
     /// Most messages in one call.
     pub max_messages_per_call: usize,
-    /// Capacity that each additional message in a call takes up, as a fraction of that of the first.
+    /// Capacity that each message in a call after the first takes up, as a fraction of the capacity that the
+    /// first takes up.
     pub additional_message_work: f64,
-    /// Interval at which the reported load is updated, in nanoseconds; 0 for no reports.
+    /// Interval at which the load reported in answers is updated, in nanoseconds; 0 if answers report no
+    /// load.
     pub load_report_interval: Time,
 }
 
@@ -76,7 +79,8 @@
     pub destination: u32,
     /// The kind of the destination, as an index into the kinds that the simulator was created with.
     pub kind: usize,
-    /// Calls per second that the destination admits, or each of its routes where these are independent.
+    /// Calls per second that the limit of the destination admits; where routes are independent, the limit of
+    /// each endpoint admits as many.
     pub rate: f64,
     /// The endpoints of the destination.
     pub endpoints: Vec<SimulatedEndpoint>,
@@ -89,7 +93,7 @@
 pub struct ClassWork {
     /// Mean service time, in nanoseconds.
     pub service_time: Time,
-    /// What endpoints do with a second execution of a message.
+    /// What a second execution of a message does, and how endpoints recognize one.
     pub idempotency: Idempotency,
 }
 
@@ -101,8 +105,8 @@
     pub slow_start_ratio: f64,
     /// Duration of the ramp in nanoseconds, after which the full capacity is available (`d`).
     pub slow_start_duration: Time,
-    /// A destination in slow start is overloaded if the calls of one window exceed this multiple of the
-    /// calls that its available capacity serves in that time.
+    /// A limit in slow start is overloaded if the calls of one overload window exceed this multiple of the
+    /// calls that its available capacity serves in one window.
     pub overload_ratio: f64,
     /// Length of the sliding overload window, in nanoseconds.
     pub overload_window: Time,
--- a/crates/endpoint-model/src/faults.rs
+++ b/crates/endpoint-model/src/faults.rs
@@ -30,11 +30,12 @@
     pub lost_answer_probability: f64,
     /// Makes messages of one class fail.
     pub class_fault: Option<ClassFault>,
-    /// Delay until a connection is accepted, in nanoseconds.
+    /// Time from a connection attempt until the endpoint accepts it, in nanoseconds.
     pub accept_delay: Time,
-    /// Connections that were idle for longer than this are dropped. The simulator only stores the timeout;
-    /// its owner, which has the connections, applies it.
+    /// Connections that were idle for longer than this, in nanoseconds, are dropped; `None` for no timeout.
+    /// The simulator only stores the timeout; its owner, which has the connections, applies it.
     pub idle_timeout: Option<Time>,
-    /// Calls that would finish before this time finish at this time instead.
+    /// Calls that would finish before this time, in nanoseconds on the clock of the run, finish at this time
+    /// instead.
     pub paused_until: Time,
 }
--- a/crates/endpoint-model/src/limit.rs
+++ b/crates/endpoint-model/src/limit.rs
@@ -34,7 +34,8 @@
     Rejected { retry_after: Time },
 }
 
-/// The load report that answers repeat until `load_report_interval` has passed.
+/// The fraction of the quota that was left at time `at`. Answers repeat it until `load_report_interval` has
+/// passed.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     at: Time,
@@ -46,9 +47,9 @@
 pub(crate) struct DestinationLimit {
     /// Calls per second that the limit admits when it is not throttled.
     rate: f64,
-    /// The fraction of the rate that is admitted at present; below 1 while throttled.
+    /// The fraction of `rate` that is admitted at present; below 1 while the limit is throttled.
     rate_factor: f64,
-    /// Every call is rejected until this time.
+    /// Every call is rejected until this time, in nanoseconds on the clock of the run.
     closed_until: Time,
     quota: Quota,
     /// When the queue will be empty, in nanoseconds. The queue is FIFO, and a call occupies it for
@@ -92,7 +93,7 @@
         self.slow_start.is_overloaded()
     }
 
-    /// Returns the full capacity, as it is outside of a slow start, in calls per second.
+    /// Returns the service capacity outside of a slow start, in calls per second: `rate * capacity_ratio`.
     pub(crate) fn capacity(&self, kind: &DestinationKind) -> f64 {
         self.rate * kind.capacity_ratio
     }
@@ -140,8 +141,8 @@
         Admission::BeginsAt(begin as Time)
     }
 
-    /// Returns the load as of the last update of the report, or `None` if the kind reports no load. Both
-    /// values are 0 if the kind has no quota.
+    /// Returns the load for an answer, or `None` if the kind reports no load. `capacity_left` is as of the
+    /// last update of the report, `rate_limit` is the present one. Both are 0 if the kind has no quota.
     pub(crate) fn reported_load(&mut self, now: Time, kind: &DestinationKind) -> Option<ReportedLoad> {
         if kind.load_report_interval == 0 {
             return None;
@@ -157,7 +158,7 @@
         Some(ReportedLoad { capacity_left: self.last_report.capacity_left, rate_limit: rate })
     }
 
-    /// Returns the calls per second that are admitted at present.
+    /// Returns the calls per second that the limit admits at present, `rate * rate_factor`.
     fn current_rate(&self) -> f64 {
         self.rate * self.rate_factor
     }
--- a/crates/endpoint-model/src/limit/quota.rs
+++ b/crates/endpoint-model/src/limit/quota.rs
@@ -4,7 +4,7 @@
 use crate::destinations::{DestinationKind, LimitKind};
 use linnetcart_conformance::Time;
 
-/// Size of the token bucket, as the time in which the rate fills it.
+/// Size of the token bucket, as the time in seconds in which the rate fills it.
 const BURST_SECONDS: f64 = 0.25;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
@@ -30,7 +30,8 @@
         Quota { tokens: bucket_size(rate), refilled_at: 0, window: 0, used_in_window: 0.0 }
     }
 
-    /// Adds the tokens gained since the last refill, or resets the counter if a new window has begun.
+    /// Adds the tokens gained since the last refill, or resets the counter if a new window has begun. `rate`
+    /// is in calls per second.
     pub(super) fn refill(&mut self, now: Time, rate: f64, limit: LimitKind) {
         match limit {
             LimitKind::None => {}
@@ -50,7 +51,7 @@
     }
 
     /// Consumes the quota of one call. `draw`, in [0, 1), selects the Retry-After from the range of a token
-    /// bucket; the Retry-After of a window is the time until it ends.
+    /// bucket; the Retry-After of a window is the time until the window ends.
     pub(super) fn consume(
         &mut self,
         now: Time,
@@ -107,12 +108,12 @@
     }
 }
 
-/// Returns the capacity of the token bucket.
+/// Returns the size of the token bucket in tokens, one for each call: `max(rate * BURST_SECONDS, 1)`.
 fn bucket_size(rate: f64) -> f64 {
     (rate * BURST_SECONDS).max(1.0)
 }
 
-/// Returns the number of calls that one window admits.
+/// Returns the number of calls that one window admits: `max(rate * window, 1)`.
 fn window_quota(rate: f64, window_ms: u64) -> f64 {
     (rate * window_ms as f64 / 1e3).max(1.0)
 }
--- a/crates/endpoint-model/src/limit/slow_start.rs
+++ b/crates/endpoint-model/src/limit/slow_start.rs
@@ -21,7 +21,8 @@
 /// The state of a slow start.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    /// When the last outage ended or will end, which is when the capacity ramp begins.
+    /// When the last outage ended or will end, which is when the capacity ramp begins; `None` before any
+    /// outage.
     since: Option<Time>,
     overloaded: bool,
     /// Times of the calls within the sliding overload window.
--- a/crates/endpoint-model/src/simulator.rs
+++ b/crates/endpoint-model/src/simulator.rs
@@ -18,7 +18,7 @@
 /// The overload of a limit during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
-    /// When the limit was overloaded.
+    /// When the limit was overloaded, in nanoseconds on the clock of the run.
     pub at: Time,
     /// The destination of the limit.
     pub destination: u32,
@@ -27,9 +27,9 @@
 /// The time of an outage, and whether connections fail during it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutageSpan {
-    /// When the outage begins.
+    /// When the outage begins, in nanoseconds on the clock of the run.
     pub from: Time,
-    /// When the outage is expected to end.
+    /// When the outage is expected to end, in nanoseconds on the clock of the run.
     pub until: Time,
     /// Whether connection attempts fail: they are refused or not answered.
     pub refused_connections: bool,
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LimitOwner {
     destination: u32,
-    /// The endpoint, where routes are independent; `None` for the limit of the whole destination.
+    /// The endpoint if it is an independent route; `None` for the limit of the whole destination.
     route: Option<u32>,
 }
 
@@ -142,8 +142,8 @@
         self.destinations.insert(destination, extended);
     }
 
-    /// Takes an endpoint out of service: it refuses connections and resets those of new calls. Calls that it
-    /// admitted before still finish.
+    /// Takes an endpoint out of service: the endpoint refuses connections, and resets the connection of every
+    /// new call. Calls that were admitted before still finish.
     pub fn remove(&mut self, endpoint: u32) {
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.removed = true;
@@ -185,14 +185,15 @@
         self.endpoints.get_mut(&endpoint).map(|state| &mut state.fault)
     }
 
-    /// Sets the limits of a destination to this fraction of their rate; 1 ends the throttling.
+    /// Makes the limits of a destination admit `factor * rate` calls per second; 1 ends the throttling.
     pub fn throttle(&mut self, destination: u32, factor: f64) {
         for (_, limit) in limits_of(&mut self.limits, destination) {
             limit.throttle(factor);
         }
     }
 
-    /// Makes a destination reject every call until this time; 0 ends the rejection.
+    /// Makes a destination reject every call until this time, in nanoseconds on the clock of the run; 0 ends
+    /// the rejection.
     pub fn shut_down_until(&mut self, destination: u32, until: Time) {
         for (_, limit) in limits_of(&mut self.limits, destination) {
             limit.close_until(until);
@@ -219,7 +220,7 @@
     }
 }
 
-/// Returns the limits of a destination: its own, or those of its routes.
+/// Returns the one limit of a destination, or the limits of its independent routes.
 fn limits_of(
     limits: &mut BTreeMap<LimitOwner, DestinationLimit>,
     destination: u32,
--- a/crates/endpoint-model/src/simulator/service.rs
+++ b/crates/endpoint-model/src/simulator/service.rs
@@ -10,7 +10,7 @@
 use rand_distr::{Distribution, LogNormal};
 use std::ops::Range;
 
-/// Probability that a failed message was executed nevertheless, which its caller cannot know.
+/// Probability that a message that fails is executed nevertheless, which the courier cannot know.
 const EXECUTED_FAILURE_FRACTION: f64 = 0.3;
 /// Time from the arrival of a call that fails quickly to its answer, in nanoseconds.
 const QUICK_FAILURE_TIME: Time = 2_000_000;
@@ -31,7 +31,7 @@
 pub(super) struct PendingCall {
     endpoint: u32,
     items: Vec<CallItem>,
-    /// The positions of its records in `EndpointSimulator::arrivals`, one for each message.
+    /// The positions of the call's records in `EndpointSimulator::arrivals`, one for each message.
     records: Range<usize>,
     /// The planned result of each message. The call is not answered if the endpoint is down, silent or
     /// vanished when the call finishes.
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Draws the results of an admitted call, and the service time: the longest of its messages.
+    /// Draws the results of the messages of an admitted call, and the call's service time, which is the
+    /// longest service time of its messages.
     fn plan_service(
         &mut self,
         now: Time,
@@ -214,8 +215,9 @@
         self.answer(call, now, Reply { statuses, retry_after: 0, load })
     }
 
-    /// Executes the messages of a call: those planned as served, and a random part of the failed ones.
-    /// Records which took effect, and returns the status of each message.
+    /// Executes the messages of a call that are planned as served, and each other one with probability
+    /// [`EXECUTED_FAILURE_FRACTION`]. Records which messages took effect, and returns the status of each
+    /// message.
     fn execute(&mut self, now: Time, call: u64, state: EndpointState) -> Vec<ItemStatus> {
         let Some(pending) = self.calls.get(&call) else { return Vec::new() };
         let mut statuses = Vec::new();
@@ -261,8 +263,8 @@
     }
 }
 
-/// Returns the result of a message, in a call that does not fail quickly, under the class fault of its
-/// endpoint.
+/// Returns the result of a message under the class fault of its endpoint. `class_draw` is uniform in [0, 1);
+/// the message fails if it is below the probability of the fault.
 fn plan_result(item: &CallItem, state: &EndpointState, class_draw: f64) -> PlannedResult {
     match state.fault.class_fault {
         Some(fault) if fault.class == item.class && class_draw < fault.probability => {
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -11,7 +11,7 @@
     /// A value of the document is out of its range.
     #[error("{place}: expected {expected}")]
     Invalid {
-        /// The key, section or fault that has the value.
+        /// The key, section or fault that has the invalid value.
         place: String,
         /// Which values are valid there; follows "expected" in the message.
         expected: String,
@@ -39,7 +39,7 @@
         name: String,
         /// The names of the built-in scenarios.
         known: String,
-        /// Why it could not be read as a file.
+        /// Why no file of this path could be read.
         source: std::io::Error,
     },
     /// The transport could not start a courier or open an endpoint.
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -62,9 +62,10 @@
 /// A destination as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedDestination {
-    /// The name of its kind.
+    /// The name of the destination's kind.
     pub kind: String,
-    /// Calls per second that it admits, or each of its routes where these are independent.
+    /// Calls per second that the limit of the destination admits; where routes are independent, the limit of
+    /// each endpoint admits as many.
     pub rate: f64,
 }
 
@@ -144,14 +145,14 @@
     }
 
     /// Draws the offset of a wall clock in nanoseconds, uniformly; negative if the clock is behind. The
-    /// offset is at most half of `max_clock_difference_ms`, so that any two clocks differ by at most all of
-    /// it.
+    /// absolute offset is at most `max_clock_difference_ms / 2`, so that any two clocks differ by at most
+    /// `max_clock_difference_ms`.
     pub fn draw_clock_offset(&self, rng: &mut impl Rng) -> i64 {
         let max_offset = millis(self.scenario.clients.max_clock_difference_ms / 2.0) as i64;
         rng.random_range(-max_offset..=max_offset)
     }
 
-    /// Returns the topic of each class, indexed by class number.
+    /// Returns the topic of each class, which is the name of the class, indexed by class number.
     pub fn topics(&self) -> Vec<String> {
         self.scenario.class.iter().map(|class| class.name.clone()).collect()
     }
--- a/crates/scenario/src/fleet/model.rs
+++ b/crates/scenario/src/fleet/model.rs
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Returns the largest additional one-way delay: the sum over all faults that slow links.
+    /// Returns an upper bound of the additional one-way delay, in nanoseconds: the sum over all faults that
+    /// slow links, as if they were in force at once.
     fn extra_link_delay(&self) -> Time {
         let slow_links = self.scenario.faults.iter().filter(|fault| fault.what == FaultKind::LinksSlow);
         slow_links.map(|fault| millis(fault.size)).sum()
--- a/crates/scenario/src/fleet/settings.rs
+++ b/crates/scenario/src/fleet/settings.rs
@@ -46,8 +46,8 @@
         })
     }
 
-    /// Returns the limits of a courier. Its load, in messages per second, is an equal part of the full load.
-    /// The attempts in flight at that load are, by Little's law, load times mean service time.
+    /// Returns the limits of a courier. The load of each courier, in messages per second, is `full_load /
+    /// couriers`. By Little's law it has `load * mean service time` attempts in flight at this load.
     fn limit_settings(&self) -> Value {
         let scenario = &self.scenario;
         let limits = &scenario.courier;
--- a/crates/scenario/src/fleet/traffic.rs
+++ b/crates/scenario/src/fleet/traffic.rs
@@ -8,11 +8,13 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
-/// Range of the uniform factor between a destination's rate limit and its weight in the traffic.
+/// The weight of a destination in the traffic is its rate limit times a factor drawn uniformly from this
+/// range.
 const WEIGHT_RANGE: [f64; 2] = [0.7, 1.3];
 /// Largest fraction of messages that arrive in bursts.
 const MAX_BURST_SHARE: f64 = 0.95;
-/// The messages of a burst arrive within this fraction of the time in which their destination admits as many.
+/// The messages of a burst arrive within this fraction of `burst_s`, the time in which their destination
+/// admits as many.
 const BURST_COMPRESSION: f64 = 0.05;
 /// Least rate, in messages per second; it keeps the exponential distribution valid.
 const MIN_RATE: f64 = 1e-9;
@@ -30,7 +32,7 @@
 struct TrafficGenerator<'a> {
     fleet: &'a Fleet,
     rng: &'a mut ChaCha8Rng,
-    /// Relative traffic of each destination, indexed by position.
+    /// Relative traffic of each destination, indexed by its position in `Fleet::destinations`.
     weights: Vec<f64>,
     weight_sum: f64,
     /// Positions of the destinations in descending order of their traffic.
@@ -64,7 +66,8 @@
     }
 
     /// Draws the messages outside of bursts: an inhomogeneous Poisson process, by thinning. Arrivals are
-    /// drawn at the highest rate, and each is kept with the probability `rate at this time / highest rate`.
+    /// drawn at `rate * h`, where `h` is the highest load factor, and each is kept with the probability
+    /// `load_factor(at) * (1 - burst_share) / h`.
     fn draw_single_messages(&mut self) {
         let highest_factor = self.highest_load_factor();
         let highest_rate = (self.rate * highest_factor).max(MIN_RATE);
@@ -105,12 +108,14 @@
         faults.filter(move |fault| fault.what == kind && at >= fault.at && at < fault.at + fault.lasts)
     }
 
-    /// Returns the factor by which sudden load multiplies the rate at this time.
+    /// Returns the factor by which sudden load multiplies the rate of messages outside of bursts at this
+    /// time, in seconds after the start.
     fn load_factor(&self, at: f64) -> f64 {
         self.in_force(FaultKind::SuddenLoad, at).map(|fault| fault.size).product()
     }
 
-    /// Returns an upper bound of the load factor: the one if all sudden load were in force at once.
+    /// Returns an upper bound of the load factor: the product of all sudden-load factors above 1, as if those
+    /// faults were in force at once.
     fn highest_load_factor(&self) -> f64 {
         let faults = self.fleet.scenario.faults.iter();
         let sudden_load = faults.filter(|fault| fault.what == FaultKind::SuddenLoad);
@@ -127,7 +132,8 @@
         found.unwrap_or(0)
     }
 
-    /// Draws the position of a destination, taking into account hot destinations at this time.
+    /// Draws the position of a destination. While a hot-destinations fault is in force, its `extra`
+    /// destinations of the highest weight are chosen with probability `size`, each equally often.
     fn draw_destination_at(&mut self, at: f64) -> usize {
         let Some(hot) = self.in_force(FaultKind::HotDestinations, at).next() else {
             return self.draw_destination();
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -83,6 +83,9 @@
 
 impl<'a, T: Transport> ScenarioRunner<'a, T> {
     /// Opens the endpoints and starts the couriers.
+    ///
+    /// # Errors
+    /// Fails if the transport cannot open an endpoint or start a courier.
     pub fn new(fleet: &'a Fleet, transport: T) -> Result<ScenarioRunner<'a, T>, ScenarioError> {
         let mut runner = ScenarioRunner {
             fleet,
@@ -181,12 +184,15 @@
         self.now = now;
     }
 
-    /// Returns when the next timer is due, or `None` if there is none.
+    /// Returns when the next timer is due, on the clock of the run, or `None` if there is none.
     pub fn next_wakeup(&self) -> Option<Time> {
         self.timers.next_at()
     }
 
     /// Runs all timers that are due.
+    ///
+    /// # Errors
+    /// Fails if the transport cannot open an endpoint or start a courier, or a request cannot be encoded.
     pub fn run_due_timers(&mut self) -> Result<(), ScenarioError> {
         while let Some(timer) = self.timers.pop_due(self.now) {
             self.run_timer(timer)?;
--- a/crates/scenario/src/runner/clients.rs
+++ b/crates/scenario/src/runner/clients.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FavouredCourier {
     pub(super) courier: u32,
-    /// The fraction of the messages without ordering key that goes to the courier in addition to its equal
-    /// part of the others.
+    /// Probability with which a message without ordering key is sent to this courier. All other messages
+    /// without ordering key are spread evenly over all running couriers, including this one.
     pub(super) share: f64,
 }
 
@@ -42,7 +42,8 @@
     pub(super) favoured_courier: Option<FavouredCourier>,
     /// Number of submissions that are scheduled but not made yet.
     scheduled: usize,
-    /// The number of the last attempt of each message that was submitted, by position in `Fleet::messages`.
+    /// The number of the last submission of each message that was submitted, by position in
+    /// `Fleet::messages`. It counts the retries after rejections, from 0.
     attempts: BTreeMap<usize, u32>,
     /// For each message whose connection broke, the courier that its next attempt avoids.
     avoided_couriers: BTreeMap<usize, u32>,
@@ -79,7 +80,9 @@
     }
 
     /// Chooses the courier for a message among the running ones, of which there is at least one. A message
-    /// with an ordering key goes to `running[(key + migrations) % running.len()]`, any other to a random one.
+    /// with an ordering key goes to `running[(key + migrations) % running.len()]`. Any other goes to a random
+    /// one: after a broken connection to any but the courier to avoid, otherwise with a preference for the
+    /// favoured courier.
     fn choose_courier(&mut self, message: usize, key: Option<u64>, running: &[u32]) -> u32 {
         if let Some(key) = key {
             let migrations = self.key_migrations.get(&key).copied().unwrap_or(0);
--- a/crates/scenario/src/runner/clients/answers.rs
+++ b/crates/scenario/src/runner/clients/answers.rs
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Schedules the next attempt of a rejected message, unless its client has no retries left. The delay is
-    /// at least the Retry-After.
+    /// Schedules the next submission of a rejected message, unless the message has been retried
+    /// `clients.retries` times. The delay is the larger of a random retry delay and the Retry-After, in
+    /// nanoseconds.
     fn retry_rejected(&mut self, message: usize, retry_after: Time) {
         let clients = &self.fleet.scenario.clients;
         let attempt = self.clients.last_attempt(message);
--- a/crates/scenario/src/runner/clients/connection.rs
+++ b/crates/scenario/src/runner/clients/connection.rs
@@ -17,7 +17,7 @@
 pub(super) const PRODUCE_VERSION: i16 = 9;
 /// `acks=all` of a Produce request: the courier answers when the message has its final answer.
 const ACKS_ALL: i16 = -1;
-/// The value of every message.
+/// The record value of every message, 120 bytes.
 const MESSAGE_VALUE: [u8; 120] = [b'x'; 120];
 
 /// A connection from a client to a courier.
@@ -31,7 +31,7 @@
     last_correlation: i32,
     /// Positions of the submissions without an answer, by the correlation ids of their requests.
     pub(super) waiting: BTreeMap<i32, usize>,
-    /// The sequence number of the last message on the connection.
+    /// The sequence number of the last message on the connection, counted from 1.
     pub(super) last_sequence: u64,
     /// Offset of the client's wall clock in nanoseconds; negative if the clock is behind.
     clock_offset: i64,
@@ -50,13 +50,13 @@
 }
 
 impl ClientConnection {
-    /// Returns the number of submissions that wait for an answer.
+    /// Returns the number of submissions on this connection that wait for an answer.
     pub(in crate::runner) fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Encodes the Produce request of a message and registers it as waiting for an answer. `submission` is
-    /// the position of its record among all submissions.
+    /// Encodes the Produce request of a message and registers the submission as waiting for an answer.
+    /// `submission` is its position in `ClientState::submissions`.
     pub(super) fn produce_request(
         &mut self,
         message: &OutgoingMessage<'_>,
@@ -89,7 +89,7 @@
 }
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Opens a new client connection to a courier. Its client has a wall clock with a random offset.
+    /// Opens a new client connection to a courier. The wall clock of the client has a random offset.
     pub(in crate::runner) fn connect_client(&mut self, courier: u32) -> Token {
         let token = self.transport.connect(courier);
         let process = &mut self.couriers[courier as usize];
--- a/crates/scenario/src/runner/clients/disconnects.rs
+++ b/crates/scenario/src/runner/clients/disconnects.rs
@@ -19,9 +19,9 @@
     }
 
     /// Handles the messages that were waiting on a broken client connection. If the connection was never
-    /// established, all are submitted again. Otherwise they may have been executed: an idempotent message is
-    /// submitted to another courier, a keyed one only if all endpoints of a destination share their keys, and
-    /// one that is not idempotent is not submitted again.
+    /// established, all these messages are submitted again. Otherwise they may have been executed: an
+    /// idempotent message is submitted to another courier, a message with an idempotency key only if all
+    /// endpoints of a destination share their keys, and one that is not idempotent is not submitted again.
     pub(in crate::runner) fn orphan_submissions(&mut self, connection: ClientConnection) {
         self.migrate_keys(&connection);
         for &position in connection.waiting.values() {
--- a/crates/scenario/src/runner/clients/submissions.rs
+++ b/crates/scenario/src/runner/clients/submissions.rs
@@ -21,14 +21,15 @@
 }
 
 impl<T: Transport> ScenarioRunner<'_, T> {
-    /// Schedules the submission of a message.
+    /// Schedules the submission of a message, given by its position in `Fleet::messages`. `attempt` is the
+    /// number of retries after rejections so far.
     pub(in crate::runner) fn submit_at(&mut self, at: Time, message: usize, attempt: u32) {
         self.clients.scheduled += 1;
         self.timers.schedule(at, Timer::Submit { message, attempt });
     }
 
-    /// Submits a message to a running courier, or tries again later if that is not possible now. Does nothing
-    /// if the message has no time left.
+    /// Submits a message to a running courier. Without a running courier or a connection, schedules the
+    /// submission again. Does nothing if the message can no longer be served before its deadline.
     pub(in crate::runner) fn submit(&mut self, message: usize, attempt: u32) -> Result<(), ScenarioError> {
         self.clients.scheduled -= 1;
         let fleet = self.fleet;
@@ -66,8 +67,8 @@
     fn time_left_ms(&self, message: usize, planned: &PlannedMessage, class: &Class) -> u64 {
         let mut deadline = planned.at + seconds(class.deadline_s);
         if self.clients.attempts.contains_key(&message) && class.idempotency == IdempotencyKind::Keyed {
-            // An earlier attempt may have been executed. Endpoints recognize a second one for this long after
-            // the first execution, which cannot precede the first submission.
+            // An earlier submission may have been executed. Endpoints recognize a second execution for
+            // `dedup_window_s` after the first, which cannot precede the first submission.
             deadline = deadline.min(planned.at + seconds(class.dedup_window_s));
         }
         deadline.saturating_sub(self.now) / NANOS_PER_MILLI
--- a/crates/scenario/src/runner/couriers.rs
+++ b/crates/scenario/src/runner/couriers.rs
@@ -45,8 +45,8 @@
         self.document_in_flight.is_none() && !self.needs_complete_list
     }
 
-    /// Returns whether a list document may be sent: the courier is running, it needs the complete list or has
-    /// pending changes, and no document is in flight.
+    /// Returns whether a list document is to be sent: the courier is running, no document is in flight, and
+    /// the courier needs the complete list or has pending changes.
     pub(super) fn can_be_notified(&self) -> bool {
         let has_changes = self.needs_complete_list || !self.pending_changes.is_empty();
         self.running && self.document_in_flight.is_none() && has_changes
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns the connection of an ordering key, and opens one if necessary.
+    /// Returns the connection of an ordering key to a courier, and opens one if the key has none.
     fn connection_of_key(&mut self, courier: u32, key: u64) -> Token {
         let known = self.couriers[courier as usize].connection_of_key.get(&key);
         if let Some(&token) = known.filter(|token| self.connections.contains_key(token)) {
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Kills a courier and schedules its restart after `downtime`.
+    /// Kills a courier and schedules its restart after `downtime` nanoseconds. Does nothing if it is not
+    /// running.
     pub(super) fn kill_courier(&mut self, courier: u32, downtime: Time) {
         let process = &mut self.couriers[courier as usize];
         if !process.running {
@@ -183,7 +184,7 @@
         self.schedule_after(duration, Timer::ResumeCourier { courier });
     }
 
-    /// Resumes a stalled courier and corrects the recorded end of its stall.
+    /// Resumes a stalled courier and sets the recorded end of its last stall to the present time.
     pub(super) fn resume_courier(&mut self, courier: u32) {
         let process = &mut self.couriers[courier as usize];
         process.stalled = false;
--- a/crates/scenario/src/runner/endpoint_list.rs
+++ b/crates/scenario/src/runner/endpoint_list.rs
@@ -93,12 +93,12 @@
         seconds(self.delay_s)
     }
 
-    /// Delays all further publications by additional seconds.
+    /// Increases the delay of all further publications by this many seconds.
     pub(super) fn add_delay(&mut self, additional_s: f64) {
         self.delay_s += additional_s;
     }
 
-    /// Takes back a delay that was added.
+    /// Reduces the delay of all further publications by this many seconds, to no less than 0.
     pub(super) fn reduce_delay(&mut self, additional_s: f64) {
         self.delay_s = (self.delay_s - additional_s).max(0.0);
     }
@@ -108,7 +108,8 @@
         self.unpublished.get_or_insert_default();
     }
 
-    /// Returns the entries of a list document. A complete list leaves out endpoints that are gone.
+    /// Returns the entries of a list document about these endpoints. A complete list leaves out endpoints
+    /// that are gone.
     fn describe(
         &self,
         endpoints: &[u32],
--- a/crates/scenario/src/runner/endpoint_list/changes.rs
+++ b/crates/scenario/src/runner/endpoint_list/changes.rs
@@ -22,7 +22,7 @@
     }
 
     /// Starts to drain an endpoint, and opens a replacement in the same zone. The endpoint is removed `drain`
-    /// after the publication of this change.
+    /// nanoseconds after the publication of this change.
     pub(in crate::runner) fn replace_endpoint(
         &mut self,
         endpoint: u32,
@@ -36,7 +36,7 @@
         self.simulator.add(destination, new);
         let delay = self.endpoint_list.delay();
         self.schedule_after(delay, Timer::PublishChanges { endpoints: vec![endpoint, new.endpoint] });
-        // The drain time counts from the publication, so that couriers have all of it.
+        // The drain time counts from the publication, so that couriers have the full drain time.
         self.schedule_after(delay + drain, Timer::RemoveEndpoint { endpoint });
         Ok(())
     }
@@ -52,7 +52,7 @@
         self.schedule_after(delay, Timer::PublishChanges { endpoints: vec![endpoint] });
     }
 
-    /// Stops listening for connections to an endpoint, and resets those that it has.
+    /// Stops listening for connections to an endpoint, and resets the open ones.
     pub(in crate::runner) fn close_endpoint(&mut self, endpoint: u32) {
         if let Some(entry) = self.endpoint_list.entries.get_mut(&endpoint) {
             if entry.listening {
--- a/crates/scenario/src/runner/endpoint_list/publication.rs
+++ b/crates/scenario/src/runner/endpoint_list/publication.rs
@@ -29,8 +29,8 @@
         self.publish_changes(unpublished.into_iter().collect());
     }
 
-    /// Notifies a restarted courier of all endpoints, since any of them may have changed meanwhile. Does
-    /// nothing if the courier has been restarted again.
+    /// Notifies a restarted courier of all endpoints, since any of them may have changed while it was down.
+    /// Does nothing if the courier has been killed since then.
     pub(in crate::runner) fn catch_up(&mut self, courier: u32, incarnation: u32) {
         if self.endpoint_list.unpublished.is_some() {
             return self.schedule_after(CATCH_UP_RETRY, Timer::CatchUp { courier, incarnation });
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Sends a courier the complete endpoint list if it needs it, or else the pending changes. Does nothing
-    /// if there are none or another document is in flight.
+    /// Sends a courier the complete endpoint list if the courier has not been sent one since its start,
+    /// otherwise the pending changes. Does nothing if there is nothing to send, another document is in
+    /// flight, or the courier is not running.
     fn notify(&mut self, courier: u32) {
         let process = &mut self.couriers[courier as usize];
         if !process.can_be_notified() {
--- a/crates/scenario/src/runner/endpoints.rs
+++ b/crates/scenario/src/runner/endpoints.rs
@@ -15,7 +15,7 @@
 use linnetcart_kafka::Frames;
 use std::collections::VecDeque;
 
-/// Prefix of the client id of a courier; its number follows.
+/// Prefix of the Kafka client id of a courier; the number of the courier follows.
 const COURIER_CLIENT_PREFIX: &str = "linnetcart-edge-";
 
 /// A response in the queue of its connection; `bytes` is `None` until the call is answered.
@@ -42,7 +42,7 @@
     frames: Frames,
     /// Responses in the order of their requests, as Kafka requires on a connection.
     answers: VecDeque<QueuedAnswer>,
-    /// Whether the accept delay is over.
+    /// Whether the endpoint has accepted the connection, after its accept delay.
     accepted: bool,
     /// The ApiVersions request, if it arrived during the accept delay.
     deferred_handshake: Option<RequestId>,
@@ -114,8 +114,8 @@
         self.read_requests(token);
     }
 
-    /// Returns whether a hard idle-dropped fault is in force. It resets connections after the idle timeout;
-    /// without it, they are ignored.
+    /// Returns whether an idle-dropped fault with `hard` is in force. Such a fault resets a connection that
+    /// is used after its idle timeout; without `hard`, what arrives on the connection is ignored.
     fn idle_connections_are_reset(&self) -> bool {
         self.fleet.scenario.faults.iter().any(|fault| {
             let begin = seconds(fault.at);
--- a/crates/scenario/src/runner/faults.rs
+++ b/crates/scenario/src/runner/faults.rs
@@ -10,7 +10,7 @@
 use crate::units::seconds;
 use linnetcart_endpoint_model::{EndpointFault, OutageSpan};
 
-/// A fault by which more than this fraction of calls fails counts as an outage, which a slow start follows.
+/// A fault that fails more than this fraction of calls counts as an outage, which a slow start follows.
 const OUTAGE_FAILURE_RATIO: f64 = 0.5;
 
 /// What couriers observe during an outage.
@@ -60,14 +60,15 @@
         (0..affected).map(|courier| (courier + first) % count).collect()
     }
 
-    /// Sets the limits of the destinations of a fault to this fraction of their rate.
+    /// Makes the limits of the destinations of a fault admit `factor * rate` calls per second.
     fn throttle_destinations(&mut self, fault: usize, factor: f64) {
         for destination in self.destinations_of(fault) {
             self.simulator.throttle(destination, factor);
         }
     }
 
-    /// Records an outage of the destinations of a fault until its end, which a slow start follows.
+    /// Records an outage of the destinations of a fault, from now to the end of the fault. A slow start
+    /// follows the outage.
     fn record_outage(&mut self, fault: usize, symptom: OutageSymptom) {
         let spec = self.fault_spec(fault);
         let until = seconds(spec.at + spec.lasts).max(self.now);
--- a/crates/scenario/src/runner/faults/begin.rs
+++ b/crates/scenario/src/runner/faults/begin.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the size of a fault. A fault without a size has size 1.
+/// Returns the size of a fault, or 1 if the size is 0, as it is by default.
 fn size_of(spec: &FaultSpec) -> f64 {
     if spec.size > 0.0 {
         spec.size
--- a/crates/scenario/src/runner/faults/steps.rs
+++ b/crates/scenario/src/runner/faults/steps.rs
@@ -42,7 +42,8 @@
         Ok(())
     }
 
-    /// Schedules a step, unless the delay is zero.
+    /// Schedules a step after `delay` nanoseconds. With a delay of 0, which is a fault without a period, no
+    /// further step takes place.
     fn schedule_step(&mut self, fault: usize, step: u32, delay: Time) {
         if delay > 0 {
             self.schedule_after(delay, Timer::StepFault { fault, step });
--- a/crates/scenario/src/runner/timers.rs
+++ b/crates/scenario/src/runner/timers.rs
@@ -7,7 +7,8 @@
 /// What happens when a timer fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// A client submits a message, given by its position in `Fleet::messages`.
+    /// A client submits a message, given by its position in `Fleet::messages`; `attempt` is the number of
+    /// retries after rejections so far.
     Submit { message: usize, attempt: u32 },
     /// The endpoint simulator decides about the next step of a call.
     FinishCall { call: u64 },
@@ -21,7 +22,7 @@
     EndFault { fault: usize },
     /// Couriers are notified of changes of these endpoints.
     PublishChanges { endpoints: Vec<u32> },
-    /// A restarted courier is notified of the changes that it missed, if it is still in this incarnation.
+    /// A restarted courier is notified of the changes that it missed, unless it has been killed since.
     CatchUp { courier: u32, incarnation: u32 },
     /// An endpoint is removed after it has drained.
     RemoveEndpoint { endpoint: u32 },
--- a/crates/scenario/src/runner/transport.rs
+++ b/crates/scenario/src/runner/transport.rs
@@ -27,7 +27,7 @@
     fn stall(&mut self, courier: u32);
     /// Resumes a suspended courier process.
     fn resume(&mut self, courier: u32);
-    /// Sends a document to a courier's control interface by PUT. Its answer is passed to
+    /// Sends a document to a courier's control interface by HTTP PUT. The courier's answer is passed to
     /// [`ScenarioRunner::put_done`](super::ScenarioRunner::put_done).
     fn put(&mut self, courier: u32, incarnation: u32, path: &'static str, body: String);
     /// Starts to listen for connections to an endpoint, at the same address each time.
@@ -43,8 +43,9 @@
     fn travelled(&self, _token: Token) -> Time {
         0
     }
-    /// Injects a fault of network or disk. A fault that lasts ends with [`Transport::heal`] of the same
-    /// number. A transport that cannot inject faults does nothing.
+    /// Injects a fault of network or disk; `number` is its position in the scenario. A fault that lasts ends
+    /// when [`Transport::heal`] is called with this number. A transport that cannot inject faults does
+    /// nothing.
     fn fault(&mut self, _number: usize, _fault: InfrastructureFault) {}
     /// Ends the fault of this number.
     fn heal(&mut self, _number: usize) {}
@@ -53,9 +54,9 @@
 /// Whether a started courier has the settings and the endpoint list of an earlier incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredState {
-    /// The courier recovered them from its disk.
+    /// The courier recovered its settings and the endpoint list from its disk.
     Recovered,
-    /// The courier has neither.
+    /// The courier has neither settings nor an endpoint list.
     Missing,
 }
 
@@ -66,9 +67,9 @@
     Partition {
         /// The affected couriers.
         couriers: Vec<u32>,
-        /// Whether they are cut off from clients.
+        /// Whether the couriers are cut off from clients.
         clients: bool,
-        /// Whether they are cut off from endpoints.
+        /// Whether the couriers are cut off from endpoints.
         endpoints: bool,
         /// Whether data is held back only in the direction to the couriers.
         one_way: bool,
@@ -77,7 +78,7 @@
     Cut {
         /// The affected couriers.
         couriers: Vec<u32>,
-        /// The fraction of their connections that breaks.
+        /// Probability with which each connection of these couriers breaks, independently.
         share: f64,
     },
     /// Data from and to couriers takes longer.
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -62,6 +62,9 @@
 
 impl Scenario {
     /// Returns the built-in scenario of this name, or else reads the scenario from the file of this path.
+    ///
+    /// # Errors
+    /// Fails if `name` is neither a built-in scenario nor a readable file, or the document is invalid.
     pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
         if let Some(built_in) = built_in::find(name) {
             let in_built_in = |source| ScenarioError::BuiltIn { name: name.to_owned(), source };
@@ -74,7 +77,10 @@
         Scenario::parse(&text).map_err(Box::new).map_err(in_file)
     }
 
-    /// Parses and validates a document.
+    /// Parses and validates a TOML document.
+    ///
+    /// # Errors
+    /// Fails if the text is no scenario document or a value is out of its range.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         scenario.check()?;
@@ -88,6 +94,9 @@
     }
 
     /// Returns the scenario with this number of couriers, if given, and sped up by the factor `speed`.
+    ///
+    /// # Errors
+    /// Fails if `speed` is not more than 0 and at most 100, or the number of couriers is invalid.
     pub fn with(mut self, couriers: Option<u32>, speed: f64) -> Result<Scenario, ScenarioError> {
         if !(speed > 0.0 && speed <= 100.0) {
             return Err(ScenarioError::invalid("speed", "more than 0 and at most 100"));
--- a/crates/scenario/src/scenario/faults.rs
+++ b/crates/scenario/src/scenario/faults.rs
@@ -14,8 +14,8 @@
     /// How long the fault lasts, in seconds.
     #[serde(rename = "for")]
     pub lasts: f64,
-    /// The affected fraction: of the traffic for faults of destinations, of the couriers for faults of
-    /// couriers.
+    /// The affected fraction, 0 to 1. A fault of destinations affects destinations whose rate limits add up
+    /// to this fraction of the sum of all; a fault of couriers affects this fraction of the couriers.
     #[serde(default = "defaults::fault_part")]
     pub part: f64,
     /// The size of the fault; the meaning and the unit depend on the kind, see [`FaultKind`].
@@ -24,7 +24,8 @@
     /// A second parameter; the meaning and the unit depend on the kind, see [`FaultKind`].
     #[serde(default)]
     pub extra: f64,
-    /// Selects a more severe variant of the kind, for example unanswered calls instead of errors.
+    /// Selects a variant of the kinds `idle-dropped`, `class-fails` and `partition`, see [`FaultKind`]; other
+    /// kinds ignore it.
     #[serde(default)]
     pub hard: bool,
 }
@@ -39,13 +40,14 @@
     Shut,
     /// Endpoints accept calls and answer none.
     Silent,
-    /// Endpoints are slower; size: the factor of their service times.
+    /// Endpoints are slower; size: the factor by which their service times are multiplied.
     Slow,
-    /// All endpoints are slower, whatever `part` is; size: the factor of their service times.
+    /// All endpoints are slower, whatever `part` is; size: the factor by which their service times are
+    /// multiplied.
     SharedSlow,
-    /// Calls are executed but not answered; size: the fraction.
+    /// Calls are executed but not answered; size: the fraction of the calls.
     AnswersLost,
-    /// The rates of limits are lowered; size: the fraction that remains.
+    /// The rates of limits are lowered; size: the fraction of the rate that remains.
     Throttle,
     /// Endpoints are drained and replaced in batches; size: the fraction of the endpoints in a batch; extra:
     /// seconds from the publication of the drain to the removal of the endpoint.
@@ -56,10 +58,10 @@
     Down,
     /// Endpoints pause repeatedly; size: milliseconds of a pause; extra: period of the pauses in seconds.
     Pauses,
-    /// Clients submit more messages; size: the factor.
+    /// Clients submit more messages outside of bursts; size: the factor.
     SuddenLoad,
-    /// The destinations with the most traffic receive more messages; size: the fraction of all messages that
-    /// goes to them in addition; extra: their number.
+    /// The destinations with the most traffic receive more messages; size: the fraction of the messages
+    /// outside of bursts that goes to them in addition; extra: the number of these destinations.
     HotDestinations,
     /// One courier receives more messages; size: the fraction of the messages without ordering key that goes
     /// to it in addition.
--- a/crates/scenario/src/scenario/sections.rs
+++ b/crates/scenario/src/scenario/sections.rs
@@ -1,5 +1,5 @@
 //! The sections of a scenario document. Where a field has a `serde(rename)`, the name in it is the key of the
-//! document.
+//! document. The suffix of a field's name is its unit: `_s` for seconds, `_ms` for milliseconds.
 
 use super::defaults;
 use linnetcart_endpoint_model::LimitKind;
@@ -17,7 +17,8 @@
     /// Size of a burst in seconds: it has `rate limit * burst_s` messages.
     #[serde(rename = "clump_s")]
     pub burst_s: f64,
-    /// Number of different ordering keys; 0 for messages without keys.
+    /// Number of different ordering keys in the run. Each message of an ordered class has one of them, drawn
+    /// at random; 0 if no message has an ordering key.
     pub keys: u32,
 }
 
@@ -61,21 +62,23 @@
     }
 }
 
-/// The limits and timeouts of a courier. Its load is the rate that all limits together admit, divided by the
-/// number of couriers.
+/// The limits and timeouts of a courier. The full load of a courier, in messages per second, is the rate that
+/// all limits of destinations together admit, divided by the number of couriers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CourierBounds {
-    /// Attempt slots, as a multiple of those busy at full load by Little's law: load times mean service time.
+    /// Number of attempt slots, as a multiple of the attempts in flight at full load, which by Little's law
+    /// are `load * mean service time`.
     #[serde(rename = "slots_room")]
     pub slot_ratio: f64,
-    /// Least number of attempt slots.
+    /// Lower bound of the number of attempt slots, whatever `slot_ratio` gives.
     #[serde(rename = "least_slots")]
     pub min_slots: u32,
-    /// Most messages in flight, as the time in which that many arrive at full load.
+    /// Most messages in flight, as the time in which this number arrives at full load: `load * in_flight_s`
+    /// messages.
     #[serde(rename = "hold_s")]
     pub in_flight_s: f64,
-    /// Least value of the limit of messages in flight.
+    /// Lower bound of the limit of messages in flight, whatever `in_flight_s` gives.
     #[serde(rename = "least_held")]
     pub min_in_flight: u32,
     /// Most attempts for one message.
@@ -122,14 +125,15 @@
     /// Slow start: duration of the linear ramp, after which the full capacity is available.
     #[serde(rename = "warm_after_s")]
     pub slow_start_duration_s: f64,
-    /// A destination in slow start is overloaded if the calls of one window exceed this multiple of the
-    /// calls that its available capacity serves in that time.
+    /// A destination in slow start is overloaded if the calls of one overload window exceed this multiple of
+    /// the calls that its available capacity serves in one window.
     #[serde(rename = "fall_multiple")]
     pub overload_ratio: f64,
     /// Length of the sliding overload window.
     #[serde(rename = "fall_span_s")]
     pub overload_window_s: f64,
-    /// How long no message of an ordering key is sent after an attempt that may still be running.
+    /// How long after the start of an attempt without an answer the next message of the same ordering key
+    /// must wait. An answer ends the wait earlier.
     #[serde(rename = "key_rest_ms")]
     pub key_cooldown_ms: f64,
 }
@@ -155,7 +159,7 @@
     /// Delay between a change of an endpoint and its publication.
     #[serde(rename = "late_s")]
     pub delay_s: f64,
-    /// Whether the list contains the rates of destinations.
+    /// Whether the settings declare the rates in the list as exact. Otherwise couriers ignore the rates.
     pub rates: bool,
 }
 
@@ -183,7 +187,8 @@
     /// Weight of a message served within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The fraction of the weight of a message that is served at its deadline.
+    /// Weight of a message served at its deadline, as a fraction of `priority_weight`, from 0 to 1. Between
+    /// the latency objective and the deadline the weight falls linearly.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
     /// What a second execution of a message does.
@@ -225,15 +230,16 @@
     pub destinations: u32,
     /// Number of endpoints of each destination.
     pub endpoints: [u32; 2],
-    /// Calls per second that each destination admits, or each of its routes where these are independent.
+    /// Calls per second that the limit of each destination admits; where routes are independent, the limit of
+    /// each endpoint admits as many.
     pub rate: [f64; 2],
     /// The quota by which the destinations limit calls.
     #[serde(default = "defaults::rate_limit")]
     pub limit: LimitKind,
-    /// Whether rejected calls use up the quota too.
+    /// Whether calls that are rejected for lack of quota use up quota too.
     #[serde(rename = "refused_count", default)]
     pub rejected_calls_count: bool,
-    /// Probability that a rejection carries a Retry-After.
+    /// Probability that the answer to a rejected call carries a Retry-After.
     #[serde(rename = "tells_wait", default = "defaults::retry_after_share")]
     pub retry_after_probability: f64,
     /// The Retry-After of an empty token bucket, where `limit` is `rate`.
@@ -248,19 +254,21 @@
     /// Coefficient of variation of the service times: standard deviation divided by mean.
     #[serde(rename = "cv", default = "defaults::service_time_variation")]
     pub service_time_variation: f64,
-    /// Most connections that an endpoint accepts; 0 for any number.
+    /// Most connections that an endpoint has open at the same time; further ones are refused. 0 for no limit.
     #[serde(rename = "connections", default)]
     pub max_connections: usize,
-    /// Whether endpoints are independent routes, each with a limit of its own, instead of sharing one.
+    /// Whether each endpoint is an independent route with its own limit. Otherwise all endpoints of a
+    /// destination share one limit.
     #[serde(rename = "routes_apart", default)]
     pub independent_routes: bool,
     /// Most messages in one call.
     #[serde(rename = "per_call", default = "defaults::messages_per_call")]
     pub max_messages_per_call: u32,
-    /// Capacity that each additional message in a call takes up, as a fraction of that of the first.
+    /// Capacity that each message in a call after the first takes up, as a fraction of the capacity that the
+    /// first takes up.
     #[serde(rename = "item_cost", default = "defaults::additional_message_work")]
     pub additional_message_work: f64,
-    /// Interval at which the load reported in answers is updated; 0 for no reports.
+    /// Interval at which the load reported in answers is updated; 0 if answers report no load.
     #[serde(rename = "report_ms", default = "defaults::load_report_ms")]
     pub load_report_interval_ms: f64,
 }
--- a/crates/scenario/src/scenario/validation.rs
+++ b/crates/scenario/src/scenario/validation.rs
@@ -16,6 +16,9 @@
 
 impl Scenario {
     /// Validates the scenario.
+    ///
+    /// # Errors
+    /// Fails at the first value that is out of its range; the error names it.
     pub fn check(&self) -> Result<(), ScenarioError> {
         let length_is_valid = self.seconds > 0.0 && self.seconds <= MAX_SECONDS;
         require(length_is_valid, "seconds", "more than 0 and at most 3600")?;
--- a/crates/testbed/src/baselines/round_robin.rs
+++ b/crates/testbed/src/baselines/round_robin.rs
@@ -15,7 +15,7 @@
 /// `BASE_BACKOFF * 2^min(n, MAX_BACKOFF_DOUBLINGS)`, without jitter: 200 ms to 6.4 s.
 const BASE_BACKOFF: Time = 100_000_000;
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Messages are given up this many ticks before their deadline.
+/// Messages are given up this many ticks (`Settings::tick`) before their deadline.
 const GIVE_UP_TICKS: Time = 2;
 /// The ordering key of messages that need no order.
 const NO_ORDERING_KEY: u64 = 0;
@@ -41,7 +41,7 @@
     /// No attempt starts before this time, the end of the backoff or Retry-After.
     not_before: Time,
     ordering_key: u64,
-    /// The position in the queue, by order of acceptance. A retry has the position of the first attempt.
+    /// The position in the queue, by order of acceptance. A retry keeps the position of the first attempt.
     position: u64,
 }
 
@@ -219,7 +219,8 @@
         }
     }
 
-    /// Sends queued messages in order of acceptance, as far as the limit of calls in flight allows.
+    /// Sends queued messages in order of acceptance until `max_in_flight_calls` calls are in flight. Messages
+    /// that wait for a backoff, a Retry-After or another message of their ordering key are skipped.
     fn send_queued(&mut self, now: Time, actions: &mut Vec<Action>) {
         for entry in self.queue.clone() {
             if self.calls_in_flight >= self.settings.max_in_flight_calls {
@@ -243,7 +244,8 @@
         message.not_before <= now && key_is_free
     }
 
-    /// Starts an attempt and returns its endpoint, or `None` if no endpoint of the destination is ready.
+    /// Starts an attempt of a message and returns the endpoint that is next in turn, or `None` if no endpoint
+    /// of the destination is ready.
     fn start_attempt(&mut self, id: u32) -> Option<u32> {
         let message = self.messages.get_mut(&id)?;
         let is_ready = |endpoint: &KnownEndpoint| {
--- a/crates/testbed/src/charts/baseline.rs
+++ b/crates/testbed/src/charts/baseline.rs
@@ -18,7 +18,7 @@
     document.get(EDGE_AND_RELAY).is_some()
 }
 
-/// Draws a chart of each part of [`COUNTED_PARTS`].
+/// Draws a chart of each part of [`COUNTED_PARTS`] to the folder `out`.
 pub(super) fn draw(document: &Value, out: &Path) -> anyhow::Result<()> {
     for part in COUNTED_PARTS {
         let rows = document[part].as_array().with_context(|| format!("`{part}` is not a list"))?;
--- a/crates/testbed/src/charts/scenario_runs.rs
+++ b/crates/testbed/src/charts/scenario_runs.rs
@@ -16,7 +16,8 @@
     seed: u64,
     /// Delivered priority weight divided by requested weight.
     service: f64,
-    /// The lowest such ratio over the messages first submitted within one ten-second interval.
+    /// The lowest value of this ratio in any interval of ten seconds. A message belongs to the interval of
+    /// its first submission.
     worst_stretch: f64,
     /// Number of cases in which one of the six rules was broken.
     rules_broken: u64,
--- a/crates/testbed/src/charts/stream.rs
+++ b/crates/testbed/src/charts/stream.rs
@@ -32,7 +32,7 @@
 struct StreamLines {
     /// Used share of the limit, by destination.
     limit_used: Lines,
-    /// Cumulative weight late and lost, by class.
+    /// Cumulative priority weight of late and of lost messages, by class.
     late_or_lost_weight: Lines,
     /// State, by destination: 2 in service, 1 recovering, 0 ejected.
     state: Lines,
--- a/crates/testbed/src/decision_cost.rs
+++ b/crates/testbed/src/decision_cost.rs
@@ -82,8 +82,9 @@
     calls_in_flight: usize,
 }
 
-/// Measures all series and returns their costs as JSON. Each case is measured in `turns` turns of `cycles`
-/// decision cycles, and compared with the first case of its series.
+/// Measures all series and returns the costs of their cases as JSON, in microseconds of real time per
+/// accepted message. Each case is measured in `turns` turns of `cycles` decision cycles, and compared with
+/// the first case of the series.
 pub fn run(cycles: u64, turns: usize) -> Value {
     let mut document = json!({"rounds": cycles, "turns": turns, "messages_a_round": MESSAGES_PER_CYCLE});
     for series in all_series() {
@@ -111,8 +112,10 @@
     json!(rows)
 }
 
-/// Returns the figures of a case. Its ratio is the median over turns of its cost divided by the cost of the
-/// series' first case in the same turn.
+/// Returns the figures of a case as JSON: `count`, the quantity that the series varies; `calls_out`, the
+/// calls in flight; `us`, `min` and `max`, the median, minimum and maximum over turns of the cost in
+/// microseconds per message; and `ratio`, the median over turns of `cost / first`, where `first` has the cost
+/// of the first case of the series in the same turn.
 fn case_json(case: &MeasuredCase, first: &[f64]) -> Value {
     let cost = &case.cost_us;
     let ratios = cost.iter().zip(first).map(|(cost, first)| cost / first);
--- a/crates/testbed/src/decision_cost/driver.rs
+++ b/crates/testbed/src/decision_cost/driver.rs
@@ -16,9 +16,9 @@
 pub(super) const MESSAGES_PER_CYCLE: u32 = 5;
 /// Mean number of messages that each destination receives before the measurement begins.
 const WARM_UP_MESSAGES: u32 = 20;
-/// Decision cycles before the measurement, in addition to the service time.
+/// Decision cycles before the measurement, in addition to those of one service time.
 const WARM_UP_CYCLES: u64 = 300;
-/// Number of destinations that have sent a Retry-After.
+/// Number of waiting destinations: those that have sent a long Retry-After.
 const WAITING_DESTINATIONS: u32 = 8;
 /// A Retry-After longer than any measurement, in virtual nanoseconds.
 const LONG_RETRY_AFTER: Time = 100_000 * SECOND;
--- a/crates/testbed/src/decision_record.rs
+++ b/crates/testbed/src/decision_record.rs
@@ -52,7 +52,11 @@
     actions: Box<RawValue>,
 }
 
-/// Creates the folder for this process's records. Only the first call in a process sets it.
+/// Creates a folder, and sets it as the folder for this process's records. Only the first call in a process
+/// sets the folder; later calls create theirs without effect on the records.
+///
+/// # Errors
+/// Fails if the folder cannot be created.
 pub fn set_folder(folder: &Path) -> anyhow::Result<()> {
     std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     let _ = FOLDER.set(folder.to_owned());
@@ -109,11 +113,11 @@
 /// The totals of a replayed record in which every decision was the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Replayed {
-    /// Number of decision cycles.
+    /// Number of decision cycles in the record.
     pub cycles: u64,
-    /// Number of events in them.
+    /// Number of events that the library received, over all cycles.
     pub events: u64,
-    /// Number of actions in them.
+    /// Number of actions that the library returned, over all cycles.
     pub actions: u64,
 }
 
@@ -121,8 +125,8 @@
 /// leaves it, is skipped.
 ///
 /// # Errors
-/// Fails if the record cannot be read, or at the first cycle that is decided differently; the error names its
-/// line.
+/// Fails if the record cannot be read, or at the first cycle that is decided differently; the error names the
+/// line of this cycle.
 pub fn replay(path: &Path) -> anyhow::Result<Replayed> {
     let name = path.display();
     let mut file = BufReader::new(File::open(path).with_context(|| name.to_string())?);
--- a/crates/testbed/src/emulated_run.rs
+++ b/crates/testbed/src/emulated_run.rs
@@ -26,7 +26,7 @@
     pub scenario: Scenario,
     /// The seed of all random numbers of the run: fleet, traffic, network, clocks and decisions.
     pub seed: u64,
-    /// The name of the couriers' delivery policy, one of [`baselines::NAMES`].
+    /// The name of the delivery policy of all couriers, one of [`baselines::NAMES`].
     pub policy: String,
     /// The timing of hosts and network.
     #[serde(default)]
@@ -38,7 +38,8 @@
 pub struct UncheckedRun {
     /// The fleet that was drawn.
     pub fleet: Fleet,
-    /// The records and totals of the run.
+    /// The records for the conformance checks, the digest, the trace, and the totals of events, connections
+    /// and virtual time.
     pub run: EmulatedRun,
 }
 
@@ -47,14 +48,15 @@
 pub struct CheckedRun {
     /// The fleet that was drawn.
     pub fleet: Fleet,
-    /// The records and totals of the run.
+    /// The records for the conformance checks, the digest, the trace, and the totals of events, connections
+    /// and virtual time.
     pub run: EmulatedRun,
-    /// The results of the checks.
+    /// The results of the conformance checks.
     pub report: Report,
 }
 
 impl UncheckedRun {
-    /// Checks the run against the invariants of its fleet.
+    /// Checks the records of the run against the invariants of the fleet.
     pub fn check(self) -> CheckedRun {
         let UncheckedRun { fleet, run } = self;
         let report = check(&run.records.records, &fleet.invariants(Timebase::Emulated));
@@ -68,7 +70,8 @@
         Recipe { scenario, seed, policy: baselines::NAMES[0].into(), model: Model::default() }
     }
 
-    /// Runs the recipe. With a trace, the delivery events that it selects are recorded.
+    /// Runs the recipe. A trace records the delivery events of the message that it was created for, or of
+    /// all.
     ///
     /// # Errors
     /// Fails if the policy is unknown, or the emulation fails.
@@ -82,11 +85,17 @@
     }
 
     /// Runs the recipe without a trace and checks the invariants.
+    ///
+    /// # Errors
+    /// Fails if the policy is unknown, or the emulation fails; a broken invariant is no error.
     pub fn run_checked(&self) -> anyhow::Result<CheckedRun> {
         Ok(self.run(None)?.check())
     }
 
     /// Reads and validates a recipe that `emulate --recipe` or `hunt --recipe` wrote.
+    ///
+    /// # Errors
+    /// Fails if the file cannot be read, is no recipe, or has an invalid scenario.
     pub fn read(file: &Path) -> anyhow::Result<Recipe> {
         let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
         let recipe: Recipe = serde_json::from_str(&text).with_context(|| file.display().to_string())?;
@@ -94,7 +103,7 @@
         Ok(recipe)
     }
 
-    /// Writes the recipe to a file.
+    /// Writes the recipe to a file as indented JSON.
     pub fn write(&self, file: &Path) -> anyhow::Result<()> {
         let text = serde_json::to_string_pretty(self)? + "\n";
         std::fs::write(file, text).with_context(|| file.display().to_string())
--- a/crates/testbed/src/emulated_run/message_trace.rs
+++ b/crates/testbed/src/emulated_run/message_trace.rs
@@ -40,7 +40,7 @@
 /// is derived.
 #[derive(Debug)]
 struct AttemptHistory {
-    /// When the last attempt started.
+    /// When the last attempt started, in nanoseconds since the start of the scenario.
     last_started: Time,
     /// The description of the last attempt that has finished, if any.
     last_finished: Option<String>,
@@ -58,7 +58,8 @@
 }
 
 /// Repeats a run and describes the lifecycle of one message, every attempt with its reason. Each line has the
-/// time since the start of the scenario and the time since the message was due for submission.
+/// time since the start of the scenario and the time since the message was due for submission, both in
+/// milliseconds.
 ///
 /// # Errors
 /// Fails if the run cannot be repeated or has no message of this number.
--- a/crates/testbed/src/experiment/cells.rs
+++ b/crates/testbed/src/experiment/cells.rs
@@ -27,9 +27,9 @@
     pub(super) cell: u64,
     /// The index of the measure in [`MEASURES`].
     pub(super) measure: usize,
-    /// The mean of the base cell.
+    /// The mean of the measure over the seeds of the base cell.
     pub(super) base: f64,
-    /// The mean of value minus base value over the seeds that both cells have.
+    /// The mean of `value - base value` over the seeds with which both cells have been run.
     pub(super) difference: Mean,
 }
 
@@ -39,7 +39,8 @@
     base_level: usize,
 }
 
-/// Measures that the plan shows, in its order. Unknown names are skipped; a plan that was parsed has none.
+/// Measures that the plan shows, in the order of its `show`. Unknown names are skipped; a parsed plan has no
+/// unknown names.
 pub(super) fn shown_measures(plan: &Plan) -> Vec<ShownMeasure> {
     let find = |name: &String| {
         let index = MEASURES.iter().position(|measure| measure.name == name)?;
--- a/crates/testbed/src/experiment/chart.rs
+++ b/crates/testbed/src/experiment/chart.rs
@@ -12,7 +12,7 @@
 use std::ops::Range;
 use toml::Value;
 
-/// Width and height in pixels.
+/// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (720, 360);
 /// Font sizes in pixels.
 const CAPTION_SIZE: u32 = 15;
@@ -27,7 +27,7 @@
 }
 
 impl Point {
-    /// Half the width of the confidence interval; 0 if a single value has none.
+    /// Half the width of the confidence interval; 0 for the mean of a single value, which has no interval.
     fn half_width(&self) -> f64 {
         if self.mean.half_width.is_finite() {
             self.mean.half_width
@@ -116,8 +116,9 @@
     Ok(())
 }
 
-/// The horizontal position of each level. Positive numbers are placed at their value or decimal logarithm; if
-/// any level is not a positive number, level k is placed at k.
+/// The horizontal position of each level. Positive numbers are placed at their value, or at their decimal
+/// logarithm if `highest / lowest` exceeds [`MAX_LINEAR_RATIO`]. If any level is not a positive number, level
+/// k is placed at k.
 fn level_positions(levels: &[Value]) -> Vec<f64> {
     let numbers: Option<Vec<f64>> = levels.iter().map(positive_number).collect();
     let Some(numbers) = numbers else { return (0..levels.len()).map(|index| index as f64).collect() };
@@ -159,7 +160,7 @@
 
 struct YAxis {
     range: Range<f64>,
-    /// The value at whose height the names of the levels are written, below all intervals.
+    /// The value on the vertical axis at which the names of the levels are written, below all intervals.
     level_labels: f64,
 }
 
--- a/crates/testbed/src/experiment/measures.rs
+++ b/crates/testbed/src/experiment/measures.rs
@@ -9,7 +9,7 @@
 
 /// The index of rule 4, on the load during the recovery from an outage, in [`Report::rules`].
 const RECOVERY_RULE: usize = 3;
-/// One hour in microseconds; longer times to delivery are recorded as one hour.
+/// Largest delivery time that is recorded, in microseconds: one hour. Longer ones are recorded as one hour.
 const MAX_TIME_US: u64 = 3_600_000_000;
 /// Lower bound of a divisor, so that a requested weight of zero does not divide by zero.
 const MIN_REQUESTED_WEIGHT: f64 = 1e-9;
@@ -49,14 +49,14 @@
     measure("connections", "connections at the same time at most"),
 ];
 
-/// The measures of a run in virtual time.
+/// The values of the measures of a run in virtual time, in the order of [`MEASURES`].
 pub fn of_checked_run(checked: &CheckedRun) -> Vec<f64> {
     let run = &checked.run;
     of_run(&checked.fleet, &run.records, run.peak_connections, &checked.report)
 }
 
-/// The measures of a run, in the order of [`MEASURES`]. `peak_connections` is the maximum number of open
-/// connections; runs on sockets do not record it and pass 0.
+/// The values of the measures of a run, in the order of [`MEASURES`]. `peak_connections` is the maximum
+/// number of connections open at the same time; runs on sockets do not record this number and pass 0.
 pub fn of_run(
     fleet: &Fleet,
     records: &ScenarioRecords,
@@ -94,14 +94,16 @@
 /// Delivery times of the messages that were served, each from its first submission to the first answer
 /// `Served`.
 struct ServedMessages {
-    /// Sum of the priority weights of messages served after their latency objective, as reduced by their age
+    /// Sum of the weights of the messages that were served after their latency objective. A late message
+    /// counts with the part of its priority weight that remains at its delivery time
     /// ([`Class::weight_at`](linnetcart_conformance::Class::weight_at)).
     late_weight: f64,
-    /// Times in microseconds, to three significant digits; `None` if the histogram could not be created.
+    /// Delivery times in microseconds, to three significant digits; `None` if the histogram could not be
+    /// created.
     times: Option<Histogram<u64>>,
 }
 
-/// The time at which a message was first served, and its class.
+/// When the first answer `Served` to a message arrived at its client, and the class number of the message.
 struct Served {
     at: Time,
     class: u8,
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -37,7 +37,7 @@
     pub speed: f64,
     /// Number of seeds with which each cell is run, counted up from `first_seed`.
     pub seeds: u64,
-    /// The first seed.
+    /// The lowest seed.
     #[serde(default = "default_first_seed")]
     pub first_seed: u64,
     /// Names of the measures that tables and charts show, in this order.
@@ -60,7 +60,7 @@
 pub struct Factor {
     /// The property that is varied.
     pub name: String,
-    /// The values that it takes.
+    /// The values that the property takes.
     pub levels: Vec<Value>,
 }
 
@@ -77,7 +77,7 @@
 /// The cell and the seed that a run belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunKey {
-    /// The number of the combination of levels, counted from 0.
+    /// The number of the cell, which is a combination of levels, counted from 0.
     pub cell: u64,
     /// The seed.
     pub seed: u64,
@@ -105,12 +105,18 @@
 
 impl Plan {
     /// Reads a plan from a file and validates it, including the scenario of each cell.
+    ///
+    /// # Errors
+    /// Fails if the file cannot be read, is no valid plan, or a cell has an invalid scenario.
     pub fn read(file: &Path) -> anyhow::Result<Plan> {
         let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
         Plan::parse(&text).with_context(|| file.display().to_string())
     }
 
     /// Parses a plan and validates it, including the scenario of each cell.
+    ///
+    /// # Errors
+    /// Fails if the text is no valid plan, or a cell has an invalid scenario.
     pub fn parse(text: &str) -> anyhow::Result<Plan> {
         let plan: Plan = toml::from_str(text)?;
         plan.check_seeds_and_factors()?;
@@ -169,7 +175,7 @@
         self.factor.iter().map(|factor| factor.levels.len() as u64).product()
     }
 
-    /// Number of runs.
+    /// Number of runs: cells times seeds.
     pub fn runs(&self) -> u64 {
         self.cells() * self.seeds
     }
@@ -200,7 +206,8 @@
         levels.map(level_text).collect()
     }
 
-    /// The recipe of the run of a cell with a seed. Factors are applied before the speed-up.
+    /// The recipe of the run of a cell with a seed. Factors are applied before the speed-up, so their levels
+    /// refer to the scenario at its original speed.
     pub fn recipe(&self, cell: u64, seed: u64) -> anyhow::Result<Recipe> {
         let mut recipe = Recipe::new(Scenario::find(&self.scenario)?, seed);
         for (factor, index) in self.factor.iter().zip(self.level_indices(cell)) {
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -29,11 +29,11 @@
 /// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The number of the run in the plan.
+    /// The number of the run in the plan, counted from 0.
     pub run: u64,
     /// The seed of the run.
     pub seed: u64,
-    /// The measures of the run, in the order of [`MEASURES`].
+    /// The values of the measures of the run, in the order of [`MEASURES`].
     pub values: Vec<f64>,
     /// The digest of the run's network segments; equal digests show that two runs were identical.
     pub digest: String,
@@ -161,7 +161,8 @@
     bail!("{}: holds results of {difference}; choose another --out, or remove it", dir.display())
 }
 
-/// Reads the stored results. An incomplete last line, which an interrupted write leaves behind, is skipped.
+/// Reads the stored results and returns them by run number; without a file there are none. An incomplete last
+/// line, which an interrupted write leaves behind, is skipped.
 fn read_lines(path: &Path, plan: &Plan) -> anyhow::Result<BTreeMap<u64, Row>> {
     let mut rows = BTreeMap::new();
     let Ok(file) = File::open(path) else { return Ok(rows) };
@@ -190,7 +191,7 @@
     row.run < plan.runs() && row.seed == plan.run(row.run).seed && row.values.len() == MEASURES.len()
 }
 
-/// Replaces the file of results atomically: writes a new file, then renames it.
+/// Replaces the file of results atomically: writes `new_path`, then renames it to `path`.
 fn rewrite_lines(new_path: &Path, path: &Path, rows: &BTreeMap<u64, Row>) -> anyhow::Result<()> {
     let mut text = String::new();
     for row in rows.values() {
--- a/crates/testbed/src/fault_search.rs
+++ b/crates/testbed/src/fault_search.rs
@@ -1,8 +1,8 @@
 //! Fault search, by the method of property-based testing: draws scenarios with random faults and runs them in
-//! virtual time. It looks for a scenario that breaks an invariant, or for the one with the largest
-//! `max(0, baseline - policy)`: the fractions of the requested priority weight that the best baseline and the
-//! tested policy deliver. The scenario found is shrunk: its faults, traffic and fleet are reduced as long as
-//! the problem persists.
+//! virtual time. It looks for a scenario that breaks an invariant, or for the one with the largest loss
+//! `max(0, b - p)`, where `b` and `p` are the fractions of the requested priority weight that the best
+//! baseline and the tested policy deliver. The scenario found is shrunk: faults, traffic and fleet are
+//! reduced as long as the problem persists.
 //!
 //! The scenario of run k depends on the seed of the search and on k alone, so a search finds the same
 //! scenario with any number of threads.
@@ -19,7 +19,8 @@
 use linnetcart_scenario::scenario::Scenario;
 use std::ops::Range;
 
-/// Number of runs between two choices of the scenario to mutate, in a search for losses.
+/// Number of runs in a generation of a search for losses. A generation in the second half of the runs mutates
+/// the scenario with the largest loss before it.
 const GENERATION_SIZE: u64 = 32;
 /// The fraction of the original loss that a shrunk scenario must still show.
 const MIN_REMAINING_LOSS: f64 = 0.8;
@@ -37,7 +38,7 @@
 /// The parameters of a search.
 #[derive(Clone, Debug)]
 pub struct FaultSearch {
-    /// The scenario whose fleet and traffic are used; drawn faults are added to its own.
+    /// The scenario whose fleet, traffic and faults are used; the drawn faults are added.
     pub base: Scenario,
     /// The seed that all scenarios are drawn from.
     pub seed: u64,
@@ -49,7 +50,7 @@
     pub goal: Goal,
     /// Maximum number of faults of a scenario.
     pub max_faults: usize,
-    /// Whether only faults are drawn that a run on sockets can cause.
+    /// Whether only faults are drawn that can also be injected in a run on sockets.
     pub sockets_only: bool,
     /// Number of runs at the same time.
     pub threads: usize,
@@ -58,7 +59,8 @@
 /// A scenario that a search found.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// The number of the run that found it, counted from 1; 0 if the scenario was given and not drawn.
+    /// The number of the run that found the scenario, counted from 1; 0 if the scenario was given and not
+    /// drawn.
     pub run: u64,
     /// The broken invariants with an example, or the loss against the best baseline.
     pub summary: String,
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Whether a scenario with this severity still shows the problem that was `found`.
+    /// Whether a scenario with this severity still shows the problem that was `found`: the first of the
+    /// broken rules is broken again, or at least [`MIN_REMAINING_LOSS`] of the loss remains.
     fn still_shows(&self, found: &Severity, goal: Goal) -> bool {
         match goal {
             Goal::BrokenInvariant => {
@@ -133,6 +136,9 @@
 
 impl FaultSearch {
     /// Runs the search and shrinks the scenario found. Returns `None` if no run reaches the goal.
+    ///
+    /// # Errors
+    /// Fails if a run fails, for example because the policy is unknown.
     pub fn run(&self, progress: ProgressFn) -> anyhow::Result<Option<Finding>> {
         let found = match self.goal {
             Goal::BrokenInvariant => self.find_broken_invariant(progress)?,
@@ -141,7 +147,10 @@
         found.map(|candidate| self.finding(candidate)).transpose()
     }
 
-    /// Shrinks the scenario of a given run. Returns `None` if the run does not reach the goal.
+    /// Shrinks the scenario of a given recipe. Returns `None` if its run does not reach the goal.
+    ///
+    /// # Errors
+    /// Fails if a run fails, for example because the policy is unknown.
     pub fn shrink_run(&self, recipe: Recipe) -> anyhow::Result<Option<Finding>> {
         let severity = self.assess(&recipe)?;
         if !severity.reaches(self.goal) {
@@ -163,7 +172,7 @@
         })
     }
 
-    /// Runs a recipe, and in a search for losses also with every other policy.
+    /// Runs a recipe and returns its severity. In a search for losses, runs it also with every other policy.
     fn assess(&self, recipe: &Recipe) -> anyhow::Result<Severity> {
         let report = recipe.run_checked()?.report;
         let mut severity = Severity::of(&report);
--- a/crates/testbed/src/fault_search/describe.rs
+++ b/crates/testbed/src/fault_search/describe.rs
@@ -5,7 +5,11 @@
 use linnetcart_scenario::scenario::FaultSpec;
 use std::fmt::Write;
 
-/// Returns the shrunk scenario as a script. Comments at its top give the finding and the commands to run it.
+/// Returns the shrunk scenario as a script (TOML). Comments at the top give the finding and the commands that
+/// run the script.
+///
+/// # Errors
+/// Fails if the scenario cannot be encoded as TOML.
 pub fn script(finding: &Finding) -> anyhow::Result<String> {
     let recipe = &finding.shrunk;
     let seed = recipe.seed;
@@ -19,7 +23,11 @@
     Ok(text)
 }
 
-/// Describes the finding, with the report of the shrunk scenario, which is run once more for it.
+/// Describes the finding, followed by the report of the conformance checks of the shrunk scenario. Runs that
+/// scenario once more for the report.
+///
+/// # Errors
+/// Fails if the run fails.
 pub fn describe(finding: &Finding) -> anyhow::Result<String> {
     let drawn = &finding.drawn.scenario;
     let shrunk = &finding.shrunk.scenario;
--- a/crates/testbed/src/fault_search/draw.rs
+++ b/crates/testbed/src/fault_search/draw.rs
@@ -66,7 +66,7 @@
     low + rng.random::<f64>() * (high - low)
 }
 
-/// Draws a fault of a kind that begins within the scenario.
+/// Draws a fault of a kind. It begins at 5 % to 75 % of the scenario's duration and lasts 5 % to 40 % of it.
 fn draw_fault(rng: &mut ChaCha8Rng, kind: FaultKind, scenario: &Scenario) -> FaultSpec {
     let at = between(rng, 0.05, 0.75) * scenario.seconds;
     let lasts = between(rng, 0.05, 0.4) * scenario.seconds;
@@ -75,7 +75,7 @@
     FaultSpec { what: kind, at, lasts, part, size, extra, hard: rng.random() }
 }
 
-/// Draws the strength of a fault within a realistic range: the size first, then the extra figure.
+/// Draws the strength of a fault from the range of its kind: the size first, then the extra figure.
 fn draw_strength(rng: &mut ChaCha8Rng, kind: FaultKind, classes: usize) -> Strength {
     let mut draw = |low: f64, high: f64| between(rng, low, high);
     match kind {
--- a/crates/testbed/src/fault_search/shrink.rs
+++ b/crates/testbed/src/fault_search/shrink.rs
@@ -9,7 +9,7 @@
 
 /// Faults that last longer than this, in seconds, are tried at half their duration.
 const MIN_HALVED_SECONDS: f64 = 0.3;
-/// Steps per unit that the figures of faults are rounded to.
+/// Arguments of [`round_to`]: steps per unit that the figures of faults are rounded to.
 const TENTHS: f64 = 10.0;
 const HUNDREDTHS: f64 = 100.0;
 
@@ -21,7 +21,8 @@
 }
 
 impl FaultSearch {
-    /// Removes and simplifies parts of a scenario until no smaller one shows the same problem.
+    /// Removes and simplifies parts of a scenario until no smaller one shows the same problem, or
+    /// [`MAX_SHRINK_RUNS`] runs have been made.
     pub(super) fn shrink(&self, found: &Recipe, severity: &Severity) -> anyhow::Result<Shrunk> {
         let mut shrunk = Shrunk { recipe: found.clone(), runs: 0 };
         while let Some(smaller) = self.find_smaller(&mut shrunk, severity)? {
@@ -84,12 +85,13 @@
     steps.smaller
 }
 
-/// Adds steps to a shorter scenario, less traffic, and fewer couriers, destinations and kinds of destination.
+/// Adds steps that shorten the scenario, reduce its traffic, and reduce the numbers of couriers, destinations
+/// and kinds of destination.
 fn add_smaller_fleets(steps: &mut Steps) {
     let scenario = &steps.from.scenario;
     let kinds = scenario.kind.len();
     let fault_ends = scenario.faults.iter().map(|fault| fault.at + fault.lasts);
-    // The scenario ends one second and a fifth of its time after its last fault.
+    // The shorter scenario lasts `1.2 * t + 1` seconds, where `t` is the end of its last fault, at least 2 s.
     let last_fault_end = fault_ends.fold(2.0, f64::max);
     let enough_seconds = (last_fault_end * 1.2 + 1.0).ceil();
     steps.add(|scenario| scenario.seconds = scenario.seconds.min(enough_seconds));
@@ -109,7 +111,7 @@
     }
 }
 
-/// Adds steps to a fault that is shorter, has rounder figures or is not of the harder form.
+/// Adds steps that halve the duration of a fault, round its figures, or clear its `hard` flag.
 fn add_simpler_faults(steps: &mut Steps, index: usize) {
     if steps.from.scenario.faults[index].lasts > MIN_HALVED_SECONDS {
         steps.add_fault_change(index, |fault| fault.lasts = round_to(fault.lasts / 2.0, TENTHS));
--- a/crates/testbed/src/fidelity_check.rs
+++ b/crates/testbed/src/fidelity_check.rs
@@ -1,5 +1,5 @@
-//! Measures how faithful runs in virtual time are: compares them with runs on sockets of the same scenarios
-//! and seeds, by paired differences.
+//! Measures how closely runs in virtual time match runs on sockets: compares both for the same scenarios and
+//! seeds, by paired differences `emulated - on sockets`.
 
 use crate::emulated_run::Recipe;
 use crate::experiment::intervals::{mean, paired_difference, Mean};
@@ -15,7 +15,7 @@
 
 /// The measures that are compared, by their names in [`MEASURES`].
 const COMPARED: [&str; 6] = ["served_worth", "in_aim", "refused", "calls", "calls_refused", "p50_ms"];
-/// The measure with the number of broken invariants, whose sums are compared.
+/// The measure with the number of cases in which a rule was broken. It is summed over all runs of a scenario.
 const RULES_BROKEN: &str = "rules_broken";
 
 /// The runs that are compared.
@@ -36,13 +36,14 @@
 /// The differences that were measured.
 #[derive(Clone, Debug)]
 pub struct FidelityResult {
-    /// A table for the terminal.
+    /// A table for the terminal: means on sockets and in virtual time, and the mean paired difference with
+    /// half the width of its 95 % confidence interval.
     pub table: String,
-    /// The same figures as JSON.
+    /// The means and differences of the table, and the numbers of broken cases, as JSON.
     pub figures: Value,
 }
 
-/// The values of all [`MEASURES`] for one scenario and seed, on sockets and in virtual time.
+/// The values of all [`MEASURES`], in their order, for one scenario and seed on sockets and in virtual time.
 struct RunPair {
     on_sockets: Vec<f64>,
     emulated: Vec<f64>,
@@ -79,10 +80,11 @@
     pub total: u64,
 }
 
-/// Runs and compares everything. `progress` is called after each run on sockets.
+/// Runs each scenario with each seed on sockets and in virtual time, and compares the measures for each
+/// scenario and over all. `progress` is called after each run on sockets.
 ///
 /// # Errors
-/// Fails if a run fails.
+/// Fails if a run on sockets or in virtual time fails.
 pub fn run(plan: &FidelityPlan, progress: &(dyn Fn(Progress) + Sync)) -> anyhow::Result<FidelityResult> {
     let runs = plan.scenarios.len() as u64 * plan.seeds;
     let pairs = parallel::run_all(plan.parallel_runs, 0..runs, &|number| {
@@ -105,7 +107,8 @@
     Ok(FidelityResult { table, figures })
 }
 
-/// Compares the runs of a scenario: appends rows to the table and returns the figures.
+/// Compares the runs of a scenario: appends a row to the table for each measure in [`COMPARED`], and returns
+/// the figures as JSON.
 fn compare(scenario: &str, pairs: &[RunPair], table: &mut String) -> Value {
     let mut fields = Map::new();
     for measure in COMPARED {
--- a/crates/testbed/src/listen.rs
+++ b/crates/testbed/src/listen.rs
@@ -1,5 +1,5 @@
-//! Shows received metrics live in the terminal: how much of its limit each destination uses, how many of its
-//! messages are late or fail, and whether it is ejected.
+//! Shows received metrics live in the terminal. For each destination: the used share of its limit, the
+//! numbers of its messages that were late, rejected or failed, and whether it is ejected.
 
 mod series;
 mod table;
@@ -27,7 +27,7 @@
     pub addresses: ListenAddresses,
     /// A file that each data point is written to as a line of Graphite plaintext, if any.
     pub record: Option<PathBuf>,
-    /// Duration in seconds; if `None`, only a signal ends it.
+    /// How long metrics are received, in seconds; `None`: until SIGINT or SIGTERM arrives.
     pub seconds: Option<f64>,
 }
 
@@ -36,7 +36,7 @@
 pub enum CounterCheck {
     /// No counter decreased, and no timestamp went back.
     Monotonic,
-    /// At least one did.
+    /// At least one counter decreased, or a timestamp went back.
     Decreased,
 }
 
--- a/crates/testbed/src/listen/table.rs
+++ b/crates/testbed/src/listen/table.rs
@@ -9,7 +9,7 @@
 const MAX_ROWS: usize = 30;
 const MAX_NOTIFICATIONS: usize = 5;
 const MAX_REGRESSIONS: usize = 5;
-/// Values of the field `state`; 0 is ejected.
+/// Values of the field `state` of a destination; 0 is ejected.
 const STATE_IN_SERVICE: f64 = 2.0;
 const STATE_RECOVERING: f64 = 1.0;
 /// The cell of a field that has not been received.
@@ -43,7 +43,7 @@
         self.get("limit_used_share").or_else(|| self.get("limit_own_share")).unwrap_or(0.0)
     }
 
-    /// Priority weight late or lost, in thousandths.
+    /// Priority weight of late and of lost messages, in thousandths.
     fn weight_late_or_lost(&self) -> f64 {
         let late = self.get("worth_late_milli").unwrap_or(0.0);
         let lost = self.get("worth_lost_milli").unwrap_or(0.0);
--- a/crates/testbed/src/parallel.rs
+++ b/crates/testbed/src/parallel.rs
@@ -51,7 +51,7 @@
 pub struct Found<T> {
     /// The number of the task.
     pub number: u64,
-    /// Its result.
+    /// The result of the task.
     pub result: T,
 }
 
