--- a/crates/scenario/src/runner/clients.rs
+++ b/crates/scenario/src/runner/clients.rs
@@ -40,12 +40,13 @@
     pub(super) stray_answers: u64,
     /// The courier that is favoured at present, if any.
     pub(super) favoured_courier: Option<FavouredCourier>,
-    /// Number of submissions that are scheduled but not made yet.
+    /// Number of submissions that are scheduled but not made yet, first submissions and retries.
     scheduled: usize,
     /// The number of the last submission of each message that was submitted, by position in
     /// `Fleet::messages`. It counts the retries after rejections, from 0.
     attempts: BTreeMap<usize, u32>,
-    /// For each message whose connection broke, the courier that its next attempt avoids.
+    /// For each message whose connection broke, the courier that the next submission of the message avoids,
+    /// by position in `Fleet::messages`.
     avoided_couriers: BTreeMap<usize, u32>,
     /// How often each ordering key has moved to another courier because a connection broke.
     key_migrations: BTreeMap<u64, usize>,
--- a/crates/scenario/src/runner/endpoint_list/publication.rs
+++ b/crates/scenario/src/runner/endpoint_list/publication.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Resumes publication with the changes that were collected.
+    /// Resumes publication, and notifies all couriers of the changes that were collected while it was
+    /// suspended.
     pub(in crate::runner) fn resume_publication(&mut self) {
         let unpublished = self.endpoint_list.unpublished.take().unwrap_or_default();
         self.publish_changes(unpublished.into_iter().collect());
--- a/crates/testbed/src/baselines/round_robin.rs
+++ b/crates/testbed/src/baselines/round_robin.rs
@@ -35,10 +35,11 @@
     class: usize,
     deadline: Time,
     attempts: u32,
-    /// When the first attempt ended that an endpoint may have executed; `None` if there was none.
+    /// When the first attempt ended that an endpoint may have executed; `None` if no endpoint can have
+    /// executed the message.
     possibly_executed_since: Option<Time>,
     is_in_flight: bool,
-    /// No attempt starts before this time, the end of the backoff or Retry-After.
+    /// No attempt starts before this time, the end of the longer of backoff and Retry-After.
     not_before: Time,
     ordering_key: u64,
     /// The position in the queue, by order of acceptance. A retry keeps the position of the first attempt.
--- a/crates/testbed/src/bench_scenario.rs
+++ b/crates/testbed/src/bench_scenario.rs
@@ -98,12 +98,12 @@
 }
 
 impl FaultShape {
-    /// Creates a fault of a fraction of the endpoints or couriers, with size and extra figure 0.
+    /// Creates a fault that affects this fraction of the endpoints or couriers, with `size` and `extra` 0.
     fn new(kind: FaultKind, part: f64) -> FaultShape {
         FaultShape { kind, part, size: 0.0, extra: 0.0 }
     }
 
-    /// Creates a fault of all endpoints or couriers, with size and extra figure 0.
+    /// Creates a fault that affects all endpoints or couriers, with `size` and `extra` 0.
     fn of_all(kind: FaultKind) -> FaultShape {
         FaultShape::new(kind, 1.0)
     }
@@ -159,7 +159,8 @@
         })
     }
 
-    /// Converts faults of endpoints and of their shared limits; `part` is the fraction of endpoints affected.
+    /// Converts faults of endpoints and of the limits that endpoints share; `part` is the fraction of
+    /// endpoints affected. Returns `None` for all other faults.
     fn endpoint_fault(&self, part: f64) -> Option<FaultShape> {
         let size = self.size;
         let shape = match self.kind.as_str() {
@@ -202,7 +203,7 @@
     }
 
     /// Converts faults of traffic, of the endpoint list and of couriers; `couriers` is the fraction of
-    /// couriers affected.
+    /// couriers affected. Returns `None` for all other faults.
     fn other_fault(&self, couriers: f64) -> Option<FaultShape> {
         let size = self.size;
         let shape = match self.kind.as_str() {
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -35,7 +35,8 @@
     pub seed: u64,
     /// The values of the measures of the run, in the order of [`MEASURES`].
     pub values: Vec<f64>,
-    /// The digest of the run's network segments; equal digests show that two runs were identical.
+    /// SHA-256 of the run's network segments, in hexadecimal; equal digests show that two runs were
+    /// identical.
     pub digest: String,
 }
 
--- a/crates/testbed/src/fault_search/draw.rs
+++ b/crates/testbed/src/fault_search/draw.rs
@@ -47,7 +47,7 @@
     FaultKind::DiskDamaged,
 ];
 
-/// The strength of a fault; the meaning and unit of both figures depend on the kind, see [`FaultKind`].
+/// `size` and `extra` of a fault; the meaning and the unit of both depend on the kind, see [`FaultKind`].
 struct Strength {
     size: f64,
     extra: f64,
--- a/crates/testbed/src/parallel.rs
+++ b/crates/testbed/src/parallel.rs
@@ -56,7 +56,8 @@
 }
 
 /// Returns the result of the lowest number whose task has one, or `None` if no task has. No task of a higher
-/// number is started after a result was found; results of those already running are discarded.
+/// number is started after a result was found; results of tasks of higher numbers that are already running
+/// are discarded.
 ///
 /// # Errors
 /// Fails if a task fails.
