--- a/crates/courier-common/src/idle_reuse/max_idle.rs
+++ b/crates/courier-common/src/idle_reuse/max_idle.rs
@@ -4,23 +4,24 @@
 
 /// Maximum time for which a connection may be idle and still be reused.
 ///
-/// A loss is a connection that breaks on the first call after an idle period, or stays silent on it while its
-/// endpoint answers other calls. It sets the maximum to half of that idle time, or to half of the present
-/// maximum if that is shorter. Without further losses the maximum doubles each time a full `idle_timeout` has
-/// passed, up to `idle_timeout`.
+/// A loss is a connection that breaks on the first call after an idle period, or leaves that call unanswered
+/// while the endpoint answers other calls. It sets the maximum to half of that idle time, or to half of the
+/// present maximum if that is shorter. Without further losses the maximum doubles each time a full
+/// `idle_timeout` has passed, up to `idle_timeout`.
 #[derive(Clone, Copy, Debug)]
 pub struct MaxIdlePolicy {
-    /// Time in nanoseconds after which idle connections are closed in any case.
+    /// Idle time in nanoseconds after which a connection is closed even without any loss.
     idle_timeout: Time,
-    /// Maximum idle time at `last_loss`, in nanoseconds.
+    /// Maximum idle time that the loss at `last_loss` left, in nanoseconds; `idle_timeout` before the first
+    /// loss.
     max_idle: Time,
     /// Clock time of the last loss in nanoseconds; 0 before the first.
     last_loss: Time,
 }
 
 impl MaxIdlePolicy {
-    /// Creates a policy whose initial maximum is `idle_timeout`, the time in nanoseconds after which idle
-    /// connections are closed in any case.
+    /// Creates a policy whose initial maximum is `idle_timeout`, the idle time in nanoseconds after which a
+    /// connection is closed even without any loss.
     pub fn new(idle_timeout: Time) -> Self {
         MaxIdlePolicy { idle_timeout, max_idle: idle_timeout, last_loss: 0 }
     }
--- a/crates/edge/src/control.rs
+++ b/crates/edge/src/control.rs
@@ -25,9 +25,9 @@
     pub core: Option<Core>,
     /// Options of the courier, which is created when the first settings arrive.
     pub start_options: StartOptions,
-    /// Saved settings that take effect at the next start, if they differ from those in force.
+    /// Saved settings that take effect at the next start; `None` if the settings in force stay in force.
     pub next_settings: Option<Settings>,
-    /// The settings of telemetry. Without them nothing is counted or reported.
+    /// The settings of telemetry, or `None` if there are none: then nothing is counted or reported.
     pub telemetry: Option<Telemetry>,
     /// Whether there is a state directory, in which counters survive a restart. Reports to Graphite and
     /// collectd require it.
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Handles a request. A change is passed to `save` first; if that fails, nothing changes.
+    /// Handles a request of the control interface. The snapshot with a change is passed to `save` before the
+    /// change takes effect; if `save` fails, nothing changes.
     pub fn handle(&mut self, request: &Request, save: SaveSnapshot<'_>) -> Reply {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/status") => self.get_status(),
--- a/crates/emulator/src/network/arrivals.rs
+++ b/crates/emulator/src/network/arrivals.rs
@@ -7,7 +7,7 @@
 use linnetcart_scenario::runner::Token;
 use sha2::Digest;
 
-/// Returns the code of a segment's kind in the digest of a run.
+/// Returns the byte that encodes the kind of a segment in the input of the run's SHA-256 digest.
 fn digest_kind(segment: &Segment) -> u8 {
     match segment {
         Segment::Connect => 0,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Returns the code of a direction in the digest of a run.
+/// Returns the byte that encodes a direction in the input of the run's SHA-256 digest.
 fn digest_direction(direction: Direction) -> u8 {
     match direction {
         Direction::ToCourier => 0,
@@ -62,8 +62,8 @@
         self.digest.update(data);
     }
 
-    /// Returns what arrives of a segment on a connection that may have broken. After a break, only a prefix
-    /// of the next data segment and the close arrive.
+    /// Returns the part of a segment that arrives, or `None` if nothing does. On an intact connection all of
+    /// it arrives; after a break only a prefix of the next data segment and the close do.
     fn truncate_if_broken(
         &mut self,
         token: Token,
--- a/crates/endpoint-model/src/limit/slow_start.rs
+++ b/crates/endpoint-model/src/limit/slow_start.rs
@@ -5,8 +5,8 @@
 use linnetcart_conformance::Time;
 use std::collections::VecDeque;
 
-/// Random arrivals cluster, so an overload takes more than the tolerated number of calls by this many
-/// standard deviations of a Poisson count, `sqrt(mean)`.
+/// The calls in a window count as an overload only if their number exceeds the tolerated mean by this many
+/// standard deviations of a Poisson distribution, `sqrt(mean)`: random arrivals form clusters by chance.
 const TOLERATED_DEVIATIONS: f64 = 2.0;
 
 /// Whether a call overloaded a limit.
@@ -21,7 +21,8 @@
 /// The state of a slow start.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    /// When the last outage ended or will end, which is when the capacity ramp begins.
+    /// When the last outage ended or will end, which is when the capacity ramp begins; `None` before any
+    /// outage.
     since: Option<Time>,
     overloaded: bool,
     /// Times of the calls within the sliding overload window.
--- a/crates/platform/src/core/counters.rs
+++ b/crates/platform/src/core/counters.rs
@@ -7,11 +7,11 @@
 pub struct Counters {
     /// Messages accepted.
     pub accepted: u64,
-    /// Messages rejected instead of accepted.
+    /// Messages rejected instead of accepted. If an acceptance is undone, each of its answers counts.
     pub rejected: u64,
     /// Requests that are not valid submissions.
     pub invalid_requests: u64,
-    /// Attempts whose request was queued.
+    /// Attempts whose request was queued and not taken back.
     pub attempts_sent: u64,
     /// Acceptances and attempts that were undone, mostly because their records could not be written.
     pub unrecorded: u64,
@@ -28,19 +28,19 @@
 /// Numbers of attempts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Delivered.
+    /// Answered with a status line that reads 200.
     pub served: u64,
     /// Answered with an error status or a malformed response.
     pub error: u64,
     /// Rejected by the endpoint (429 or 503), certainly not executed.
     pub rejected: u64,
-    /// Not answered in time.
+    /// Not answered by the deadline of the attempt, after the request was queued.
     pub timed_out: u64,
     /// The connection was not established, or was lost before the last byte of the request.
     pub no_connection: u64,
     /// The connection was lost after the last byte of the request.
     pub reset: u64,
-    /// Cancelled by the courier.
+    /// Cancelled by the courier after the request was queued.
     pub cancelled: u64,
     /// Certainly not executed: not sent, or answered by 504, by 410 or by 503 with `x-egress-full`.
     pub not_sent: u64,
@@ -81,7 +81,7 @@
 pub struct RecoveryCounts {
     /// Recovered from the journal.
     pub recovered: u64,
-    /// Recovered messages that were certainly never executed.
+    /// Recovered messages without a final outcome that were certainly never executed.
     pub untried: u64,
     /// Untried messages that this process attempted.
     pub attempted: u64,
@@ -94,13 +94,13 @@
 pub struct Sizes {
     /// Messages in flight.
     pub in_flight: usize,
-    /// Unacknowledged status notifications.
+    /// Unacknowledged status notifications, including those whose completion is not recorded yet.
     pub unacknowledged: usize,
-    /// Endpoints.
+    /// Endpoints of the endpoint list, including removed ones whose numbers are retained.
     pub endpoints: usize,
-    /// Connections of clients.
+    /// Open connections of clients.
     pub clients: usize,
-    /// Connections to endpoints.
+    /// Connections to endpoints in any state: connecting, in use, idle or abandoned.
     pub upstream_connections: usize,
     /// Attempts to which a connection is assigned.
     pub attempts: usize,
--- a/crates/scenario/src/runner/clients.rs
+++ b/crates/scenario/src/runner/clients.rs
@@ -15,17 +15,19 @@
 use std::collections::BTreeMap;
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// Makes the random numbers of clients independent of those of the fleet.
+/// XORed with the seed of the fleet, so that the random numbers of clients are independent of those that the
+/// fleet was drawn with.
 const CLIENT_SALT: u64 = 0x1ab;
-/// Makes the random numbers of the clients' clocks independent of all others.
+/// XORed with the seed of the fleet, so that the random numbers of the clients' clocks are independent of all
+/// others.
 const CLOCK_SALT: u64 = 0xc11c;
 
 /// A courier that receives more messages than the others.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FavouredCourier {
     pub(super) courier: u32,
-    /// The fraction of the messages without ordering key that goes to the courier in addition to its equal
-    /// part of the others.
+    /// Probability with which a message without ordering key is sent to this courier. All other messages
+    /// without ordering key are spread evenly over all running couriers, including this one.
     pub(super) share: f64,
 }
 
@@ -34,15 +36,17 @@
     pub(super) submissions: Vec<Submission>,
     /// Number of submissions that wait for an answer.
     pub(super) awaiting_answer: usize,
-    /// Answers to requests that had been answered already or were never made.
+    /// Number of answers that cannot be decoded, or whose correlation id is not that of a waiting request.
     pub(super) stray_answers: u64,
     /// The courier that is favoured at present, if any.
     pub(super) favoured_courier: Option<FavouredCourier>,
-    /// Number of submissions that are scheduled but not made yet.
+    /// Number of submissions that are scheduled but not made yet, first submissions and retries.
     scheduled: usize,
-    /// The number of the last attempt of each message that was submitted, by position in `Fleet::messages`.
+    /// The number of the last submission of each message that was submitted, by position in
+    /// `Fleet::messages`. It counts the retries after rejections, from 0.
     attempts: BTreeMap<usize, u32>,
-    /// For each message whose connection broke, the courier that its next attempt avoids.
+    /// For each message whose connection broke, the courier that the next submission of the message avoids,
+    /// by position in `Fleet::messages`.
     avoided_couriers: BTreeMap<usize, u32>,
     /// How often each ordering key has moved to another courier because a connection broke.
     key_migrations: BTreeMap<u64, usize>,
@@ -77,7 +81,9 @@
     }
 
     /// Chooses the courier for a message among the running ones, of which there is at least one. A message
-    /// with an ordering key goes to `running[(key + migrations) % running.len()]`, any other to a random one.
+    /// with an ordering key goes to `running[(key + migrations) % running.len()]`. Any other goes to a random
+    /// one: after a broken connection to any but the courier to avoid, otherwise with a preference for the
+    /// favoured courier.
     fn choose_courier(&mut self, message: usize, key: Option<u64>, running: &[u32]) -> u32 {
         if let Some(key) = key {
             let migrations = self.key_migrations.get(&key).copied().unwrap_or(0);
--- a/crates/scenario/src/runner/endpoint_list/publication.rs
+++ b/crates/scenario/src/runner/endpoint_list/publication.rs
@@ -23,14 +23,15 @@
         }
     }
 
-    /// Resumes publication with the changes that were collected.
+    /// Resumes publication, and notifies all couriers of the changes that were collected while it was
+    /// suspended.
     pub(in crate::runner) fn resume_publication(&mut self) {
         let unpublished = self.endpoint_list.unpublished.take().unwrap_or_default();
         self.publish_changes(unpublished.into_iter().collect());
     }
 
-    /// Notifies a restarted courier of all endpoints, since any of them may have changed meanwhile. Does
-    /// nothing if the courier has been restarted again.
+    /// Notifies a restarted courier of all endpoints, since any of them may have changed while it was down.
+    /// Does nothing if the courier has been killed since then.
     pub(in crate::runner) fn catch_up(&mut self, courier: u32, incarnation: u32) {
         if self.endpoint_list.unpublished.is_some() {
             return self.schedule_after(CATCH_UP_RETRY, Timer::CatchUp { courier, incarnation });
@@ -42,8 +43,9 @@
         }
     }
 
-    /// Sends a courier the complete endpoint list if it needs it, or else the pending changes. Does nothing
-    /// if there are none or another document is in flight.
+    /// Sends a courier the complete endpoint list if the courier has not been sent one since its start,
+    /// otherwise the pending changes. Does nothing if there is nothing to send, another document is in
+    /// flight, or the courier is not running.
     fn notify(&mut self, courier: u32) {
         let process = &mut self.couriers[courier as usize];
         if !process.can_be_notified() {
@@ -67,8 +69,13 @@
         self.put_document(courier, "/list", body, updates);
     }
 
-    /// Handles the answer of a courier to a document that was sent to its control interface. The error is the
-    /// reason that the courier gave for rejecting the document.
+    /// Processes a courier's answer to a settings or list document. Records that the courier has been
+    /// notified of the endpoint states in the document, and sends the changes that became pending meanwhile.
+    /// After the settings, also connects a client to the courier. Ignores the answer if the courier has been
+    /// killed since.
+    ///
+    /// # Errors
+    /// Fails if the courier rejected the document; `outcome` has the reason that the courier gave.
     pub fn put_done(
         &mut self,
         courier: u32,
--- a/crates/telemetry/src/counters.rs
+++ b/crates/telemetry/src/counters.rs
@@ -8,7 +8,7 @@
 use linnetcart::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Minimum time between two writes to the log of changes that no client's answer depends on, in nanoseconds.
+/// Interval, in nanoseconds, of appending changes that no client's answer waits for to the counter log.
 const LOG_INTERVAL: Time = SECOND / 10;
 /// The maximum number of series names is 2 * max(cells, `MIN_NAMED_CELLS`).
 const MIN_NAMED_CELLS: usize = 1000;
@@ -55,8 +55,10 @@
     class_totals: Vec<Counts>,
     /// Cells that changed since they were last reported, or were postponed to the next report.
     unreported: BTreeSet<CounterKey>,
-    /// Whether this iteration answers clients, so that its changes must be logged without delay.
+    /// Whether this iteration of the event loop answers clients: its changes must then be logged before the
+    /// answers are sent, without waiting for [`LOG_INTERVAL`].
     must_log: bool,
+    /// When [`Counters::log_if_due`] last appended changes, by the monotonic clock.
     last_logged: Time,
 }
 
@@ -81,7 +83,8 @@
         self.store.cells()
     }
 
-    /// Adds to a count and to the total of its class.
+    /// Adds `increase` to a count and, if the count belongs to a destination and class, to the total of the
+    /// class.
     pub(crate) fn add(&mut self, key: CounterKey, field: Field, increase: u64) {
         // An increase that got no cell is not added to the total either: a restart recomputes totals from the
         // cells, and a total that included it would fall.
@@ -100,7 +103,8 @@
         self.must_log = true;
     }
 
-    /// Logs changes if that is required or [`LOG_INTERVAL`] has elapsed.
+    /// Appends all changes so far to the counter log, if [`Self::require_log`] demands it or [`LOG_INTERVAL`]
+    /// has elapsed since this function last did so.
     pub(crate) fn log_if_due(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.must_log || self.last_logged + LOG_INTERVAL <= now {
             self.log_changes(outputs);
--- a/crates/telemetry/src/settings/keys.rs
+++ b/crates/telemetry/src/settings/keys.rs
@@ -9,7 +9,8 @@
 
 /// A secret key in a document.
 struct KeyEntry<'a> {
-    /// Place of the key, the same in the document that was shown and in the one that comes back.
+    /// Place of the key in the document: the receiver or listener, the user and, for a listener, the key's
+    /// index. A key has the same place in the document that was shown and in the document that is sent back.
     owner: String,
     key: &'a mut String,
 }
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Checks that no key is still hidden, which it is if the current document had no key in its place.
+    /// Checks that no key is the placeholder. [`Telemetry::restore_hidden_keys`] leaves the placeholder where
+    /// the current document has no key.
     pub(super) fn check_no_hidden_keys(&self) -> Result<(), SettingsError> {
         let mut document = self.clone();
         let mut hidden = document.keys_mut();
--- a/crates/telemetry/src/telemetry.rs
+++ b/crates/telemetry/src/telemetry.rs
@@ -104,8 +104,8 @@
         &self.settings
     }
 
-    /// Applies new settings. If those of the Graphite receiver are unchanged, its connection and send buffer
-    /// are retained.
+    /// Applies new settings. The connection to Graphite and its send buffer are retained if the settings of
+    /// the Graphite receiver are unchanged; otherwise they are discarded.
     pub fn configure(&mut self, settings: Settings, now: Time) {
         self.receivers.configure(&settings, &mut self.outputs);
         self.host.configure(settings.listen.as_ref());
@@ -114,8 +114,8 @@
         self.settings = settings;
     }
 
-    /// Replaces the endpoint list. The observed limits of destinations and routes that it no longer contains
-    /// are discarded; their counts are retained.
+    /// Replaces the endpoint list. For destinations and routes that the list no longer contains, the observed
+    /// limits are discarded and the counts are retained.
     pub fn set_endpoints(&mut self, endpoints: impl Iterator<Item = ListedEndpoint>) {
         self.recording.limits.set_endpoints(endpoints);
     }
@@ -172,8 +172,9 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles the result of the sync with this number. The part of a report that waits for it is sent with
-    /// its counts, or without them if the sync failed. The result of any other sync is ignored.
+    /// Handles the result of the sync with this number. If the current part of the report waits for this
+    /// sync, the part is sent: with the counts if the sync succeeded, without the counts if it failed. The
+    /// result of any other sync is ignored.
     pub fn synced(&mut self, number: u64, result: Result<(), SyncError>) {
         let Some(report) = &mut self.report else { return };
         if !report.waits_for_sync(number) {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Returns all counts, by what they belong to.
+    /// Returns all counts, by the cell that they belong to.
     pub fn counts(&self) -> &BTreeMap<CounterKey, Counts> {
         self.recording.counters.cells()
     }
--- a/crates/testbed/src/charts/baseline.rs
+++ b/crates/testbed/src/charts/baseline.rs
@@ -18,7 +18,7 @@
     document.get(EDGE_AND_RELAY).is_some()
 }
 
-/// Draws a chart of each part of [`COUNTED_PARTS`].
+/// Draws a chart of each part of [`COUNTED_PARTS`] to the folder `out`.
 pub(super) fn draw(document: &Value, out: &Path) -> anyhow::Result<()> {
     for part in COUNTED_PARTS {
         let rows = document[part].as_array().with_context(|| format!("`{part}` is not a list"))?;
@@ -28,10 +28,12 @@
     Ok(())
 }
 
-/// CPU time per message, in microseconds, at a count of messages in flight or destinations.
+/// A point of a chart: one row of the baseline.
 #[derive(Clone, Copy)]
 struct Point {
+    /// Number of messages in flight in the part `held`, of destinations in the part `destinations`.
     count: f64,
+    /// CPU time per message, in microseconds.
     cpu_us: f64,
 }
 
--- a/crates/testbed/src/parallel.rs
+++ b/crates/testbed/src/parallel.rs
@@ -51,12 +51,13 @@
 pub struct Found<T> {
     /// The number of the task.
     pub number: u64,
-    /// Its result.
+    /// The result of the task.
     pub result: T,
 }
 
 /// Returns the result of the lowest number whose task has one, or `None` if no task has. No task of a higher
-/// number is started after a result was found; results of those already running are discarded.
+/// number is started after a result was found; results of tasks of higher numbers that are already running
+/// are discarded.
 ///
 /// # Errors
 /// Fails if a task fails.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,20 +1,21 @@
-//! Settings of a dispatcher. They are fixed when it is created.
+//! Settings of a dispatcher. They are fixed when the dispatcher is created.
 
 use super::Time;
 
 /// Limits, classes and prices of one deployment.
 ///
-/// Values that a deployment does not specify stay at their `Default`.
+/// Values that a deployment does not specify stay at their `Default`. All times are in nanoseconds
+/// ([`Time`]), and all prices are fractions of a message's priority weight.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
     /// Number of couriers that send to the same destinations, this one included.
     #[cfg_attr(feature = "serde", serde(rename = "couriers"))]
     pub courier_count: u32,
-    /// The number of this courier among them.
+    /// Number of this courier among all couriers, counted from 0.
     #[cfg_attr(feature = "serde", serde(rename = "me"))]
     pub courier_index: u32,
-    /// The zone that this courier is in.
+    /// Number of the zone that this courier is in.
     pub zone: u8,
     /// Classes of message; [`AcceptedMessage::class`](super::AcceptedMessage::class) is an index into them.
     pub classes: Vec<Class>,
@@ -33,8 +34,8 @@
     /// Maximum number of calls that this courier may have in flight at once: its slots.
     #[cfg_attr(feature = "serde", serde(rename = "slots"))]
     pub max_in_flight_calls: u32,
-    /// Maximum number of messages that this courier may have in flight at once, sent or not. It rejects any
-    /// message beyond that.
+    /// Maximum number of messages that this courier may have in flight at once, sent or not. The courier
+    /// rejects any message beyond this number.
     #[cfg_attr(feature = "serde", serde(rename = "max_held"))]
     pub max_in_flight_messages: u32,
     /// Maximum number of attempts for a message.
@@ -71,19 +72,20 @@
     /// Time after an outage until a destination has its full capacity again.
     #[cfg_attr(feature = "serde", serde(rename = "warm_after"))]
     pub slow_start_duration: Time,
-    /// A call rate above this multiple of its present capacity makes a destination fail again after an
-    /// outage, if it lasts for [`overload_window`](Self::overload_window).
+    /// After an outage, a destination fails again if the call rate stays above this multiple of the
+    /// destination's present capacity for [`overload_window`](Self::overload_window).
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_ratio: f64,
-    /// How long an overload must last to make a destination fail again.
+    /// How long the call rate must stay above [`overload_ratio`](Self::overload_ratio) to make a destination
+    /// fail again.
     #[cfg_attr(feature = "serde", serde(rename = "fall_span"))]
     pub overload_window: Time,
-    /// After an attempt that may still run, the time for which the next message of its ordering key is held
-    /// back.
+    /// Time for which the next message of an ordering key is held back after an attempt that may still run
+    /// (rule 5).
     #[cfg_attr(feature = "serde", serde(rename = "key_rest"))]
     pub key_cooldown: Time,
-    /// Whether the dispatcher must poll the endpoint list or request its watch; if false, the list is pushed
-    /// without a request.
+    /// Whether the dispatcher must request the endpoint list
+    /// ([`Action::WatchEndpoints`](super::Action::WatchEndpoints)); if false, the list is pushed.
     #[cfg_attr(feature = "serde", serde(rename = "list_asked"))]
     pub endpoint_list_polled: bool,
     /// Longest interval between polls of the endpoint list while there is no watch.
@@ -104,22 +106,22 @@
     pub wasted_work_price: f64,
     /// Price of each unit of weight that a message loses after its latency objective.
     pub late_price: f64,
-    /// Price of a health check for each message.
+    /// Price of a health check, per message.
     #[cfg_attr(feature = "serde", serde(rename = "probe_price"))]
     pub health_check_price: f64,
-    /// Price of full gossip for each message.
+    /// Price of full gossip, per message.
     #[cfg_attr(feature = "serde", serde(rename = "note_price"))]
     pub gossip_price: f64,
-    /// Price of a call rejected above a limit.
+    /// Price of a call that is rejected above a limit.
     #[cfg_attr(feature = "serde", serde(rename = "refused_price"))]
     pub rejected_call_price: f64,
-    /// Price of a message that an independent route accepts, by the zone of the route.
+    /// Price of a message that an independent route accepts; the index is the number of the route's zone.
     pub route_fees: Vec<f64>,
 }
 
 impl Settings {
-    /// Returns a kind of destination by its number. An unknown kind has a shared limit and one message per
-    /// call.
+    /// Returns the kind of destination with this number. An unknown kind has a shared limit and one message
+    /// per call.
     pub(crate) fn kind(&self, number: u8) -> DestinationKind {
         let unknown = DestinationKind { independent_routes: false, max_messages_per_call: 1 };
         self.kinds.get(usize::from(number)).copied().unwrap_or(unknown)
@@ -130,31 +132,33 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
-    /// A message that is served within this time from its acceptance has its full weight.
+    /// Time from acceptance within which a served message has the full weight, in nanoseconds.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Time,
-    /// Time from acceptance within which a message must get its final answer.
+    /// Time from acceptance within which a message must get its final answer, in nanoseconds.
     pub deadline: Time,
     /// Weight of a message that is served within the latency objective.
     #[cfg_attr(feature = "serde", serde(rename = "worth"))]
     pub priority_weight: f64,
-    /// Weight at the deadline, as a ratio of the full weight, 0 to 1.
+    /// Weight at the deadline, as a ratio of the full weight, 0 to 1; the lower bound of the weight if
+    /// [`Settings::weight_halves`] is set.
     #[cfg_attr(feature = "serde", serde(rename = "late_worth"))]
     pub late_weight: f64,
     /// The effect of executing a message more than once.
     #[cfg_attr(feature = "serde", serde(rename = "repeat"))]
     pub idempotency: Idempotency,
-    /// Messages with the same ordering key are sent in turn, one at a time.
+    /// Whether messages with the same ordering key are sent one at a time, in order of acceptance (rule 5).
     pub ordered: bool,
 }
 
 impl Class {
-    /// Whether an attempt of a message may begin only after it is recorded in storage that survives the
-    /// process.
+    /// Whether an attempt of a message may begin only after the attempt is recorded in storage that survives
+    /// the process.
     ///
     /// After a restart, an attempt without a record is made again. That is harmless for an idempotent
-    /// message. But a message that is not idempotent would take effect twice, as would a keyed one after its
-    /// window, and the next message of an ordering key would be sent while the attempt may still run.
+    /// message. But a message that is not idempotent would take effect twice, as would a keyed message after
+    /// its `dedup_window`, and the next message of an ordering key would be sent while the attempt may still
+    /// run.
     pub fn attempt_needs_record(&self) -> bool {
         self.ordered || self.idempotency != Idempotency::Idempotent
     }
@@ -187,7 +191,7 @@
     /// Endpoints suppress a second execution by the message's idempotency key, if it follows the first within
     /// `dedup_window`.
     Keyed {
-        /// How long after the first execution endpoints remember the key.
+        /// Time after the first execution for which endpoints remember the key, in nanoseconds.
         #[cfg_attr(feature = "serde", serde(rename = "window"))]
         dedup_window: Time,
         /// Whether only endpoints in the zone of the first execution know the key; if false, all do.
@@ -203,8 +207,8 @@
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct DestinationKind {
-    /// Its endpoints are independent routes: each has its own limit and its own outages. Otherwise they share
-    /// the limit of the destination.
+    /// Whether the endpoints of the destination are independent routes, each with its own limit and its own
+    /// outages; if false, they share the limit of the destination.
     #[cfg_attr(feature = "serde", serde(rename = "routes_apart"))]
     pub independent_routes: bool,
     /// Maximum number of messages in one call.
