--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -99,7 +99,7 @@
 }
 
 impl Admission {
-    /// Adds a client that receives the decision on a message.
+    /// Adds a client to those that get the answer decided for a message: accepted, rejected or failed.
     pub fn await_decision(&mut self, message: u32, requester: Requester) {
         self.undecided.entry(message).or_default().push(requester);
     }
--- a/crates/platform/src/core/connection_pool.rs
+++ b/crates/platform/src/core/connection_pool.rs
@@ -72,9 +72,10 @@
 /// The numbers of connections and attempts in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
-    /// Number of connections.
+    /// Number of connections in all states: connecting, in use, idle and abandoned.
     pub connections: usize,
-    /// Number of attempts to which a connection is assigned.
+    /// Number of attempts to which a connection is assigned; a cancelled attempt is not counted, even while
+    /// its abandoned connection is read.
     pub attempts: usize,
 }
 
--- a/crates/platform/src/core/counters.rs
+++ b/crates/platform/src/core/counters.rs
@@ -102,6 +102,7 @@
     pub clients: usize,
     /// Connections to endpoints in any state: connecting, in use, idle or abandoned.
     pub upstream_connections: usize,
-    /// Attempts to which a connection is assigned.
+    /// Attempts to which a connection is assigned; cancelled attempts are not counted, even while their
+    /// abandoned connections are read.
     pub attempts: usize,
 }
--- a/crates/platform/src/core/submission.rs
+++ b/crates/platform/src/core/submission.rs
@@ -47,7 +47,8 @@
         /// The message's number.
         number: u32,
     },
-    /// The id belongs to a different message, in flight or completed.
+    /// The id belongs to a message with different content, in flight or completed. Holds the error with which
+    /// the submission is rejected.
     OtherMessage(RequestError),
 }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -77,7 +77,7 @@
 /// Health of a limit (that of a destination or of an independent route), as the decision library sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitState {
-    /// In service.
+    /// In service (closed circuit): neither ejected nor in the slow start after an outage.
     #[default]
     Healthy,
     /// Back from an outage, with a growing part of its capacity (slow start).
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// A class of message.
+/// What the messages of a class have in common: latency objective, deadline, weight over time, idempotency
+/// and ordering.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
