--- a/crates/conformance/src/records/deliveries.rs
+++ b/crates/conformance/src/records/deliveries.rs
@@ -7,7 +7,7 @@
 /// The position of a message on its connection. A courier accepts the messages of a connection in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionPosition {
-    /// The number of the connection.
+    /// The number that the run gave to the client's connection to the courier.
     pub connection: u64,
     /// The position of the message among those that the client sent on the connection.
     pub sequence: u64,
--- a/crates/conformance/tests/invariants/key_order.rs
+++ b/crates/conformance/tests/invariants/key_order.rs
@@ -5,7 +5,8 @@
     Answer, Arrival, ConnectionPosition, EndpointVerdict, Records, Submission, Time,
 };
 
-/// Two messages of one ordering key on one connection, the second sent at this time.
+/// Two messages of one ordering key, submitted as 1 and 2 on one connection. `first` is the arrival of
+/// message 1 at the endpoint, and `second` the time at which message 2 arrives there.
 fn two_messages_of_a_key(first: Arrival, second: Time) -> Records {
     Records {
         submissions: vec![
--- a/crates/edge/src/core/delivery/outcomes.rs
+++ b/crates/edge/src/core/delivery/outcomes.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Cancels an attempt. One that was not written ends as not sent, because it cannot have been executed.
+    /// Cancels an attempt that has no outcome yet. If its call was not written to the connection, the attempt
+    /// ends as not sent, because it cannot have been executed; otherwise as cancelled, and may be executed.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         let Some(call_id) = self.calls.call_of_attempt(attempt) else { return };
         let written = self.calls.get(call_id).is_some_and(Call::is_written);
--- a/crates/edge/src/core/endpoints.rs
+++ b/crates/edge/src/core/endpoints.rs
@@ -14,7 +14,7 @@
 }
 
 impl EndpointDirectory {
-    /// Returns the list in force.
+    /// Returns the endpoint list in force; empty before the first one.
     pub(crate) fn list(&self) -> &EndpointList {
         &self.list
     }
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -48,7 +48,8 @@
         Ok(self.finished)
     }
 
-    /// Reads a size line and returns its length in bytes, or 0 while it is incomplete.
+    /// Reads the size line at `position` and notes how many bytes of the chunk follow it. Returns the length
+    /// of the line with its line end, in bytes, or 0 while the line is incomplete.
     fn begin_chunk(&mut self, position: usize) -> Result<usize, InvalidChunk> {
         let line = &self.undecoded[position..];
         let Some(line_end) = line.iter().position(|&byte| byte == b'\n') else {
--- a/crates/kafka/src/client/response.rs
+++ b/crates/kafka/src/client/response.rs
@@ -34,9 +34,9 @@
 pub struct ClusterMetadata {
     /// Correlation id of the request that the response answers.
     pub correlation: i32,
-    /// The brokers.
+    /// The brokers of the cluster.
     pub brokers: Vec<BrokerMetadata>,
-    /// The topics.
+    /// The topics that the request named, or all topics of the cluster if it asked for all.
     pub topics: Vec<TopicMetadata>,
 }
 
