--- a/crates/endpoint-model/src/limit.rs
+++ b/crates/endpoint-model/src/limit.rs
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Sets the fraction of the rate that is admitted; 1 lifts the throttling.
+    /// Sets the fraction of `rate` that the quota admits; 1 lifts the throttling. Service capacity stays.
     pub(crate) fn throttle(&mut self, factor: f64) {
         self.rate_factor = factor;
     }
 
-    /// Rejects every call until this time.
+    /// Rejects every call until this time, in nanoseconds on the clock of the run.
     pub(crate) fn close_until(&mut self, until: Time) {
         self.closed_until = until;
     }
 
-    /// Begins a slow start at this time, which may be in the future.
+    /// Begins a slow start at this time, in nanoseconds on the clock of the run; it may be in the future.
     pub(crate) fn slow_start_from(&mut self, at: Time) {
         self.slow_start.begin(at);
     }
--- a/crates/endpoint-model/src/simulator.rs
+++ b/crates/endpoint-model/src/simulator.rs
@@ -185,7 +185,8 @@
         self.endpoints.get_mut(&endpoint).map(|state| &mut state.fault)
     }
 
-    /// Makes the limits of a destination admit `factor * rate` calls per second; 1 ends the throttling.
+    /// Sets the factor by which the quotas of a destination multiply its [`SimulatedDestination::rate`]; 1
+    /// ends the throttling. No effect on a destination without a quota, see [`crate::LimitKind::None`].
     pub fn throttle(&mut self, destination: u32, factor: f64) {
         for (_, limit) in limits_of(&mut self.limits, destination) {
             limit.throttle(factor);
--- a/crates/telemetry/src/latency.rs
+++ b/crates/telemetry/src/latency.rs
@@ -27,7 +27,8 @@
 /// The latencies since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyRecorder {
-    /// `None` until a latency is recorded: most intervals of most destinations have none.
+    /// Number of latencies by their value in [`LATENCY_UNIT`]s. `None` until a latency is recorded: most
+    /// intervals of most destinations have none.
     histogram: Option<Histogram<u32>>,
 }
 
--- a/crates/testbed/src/decision_cost/driver.rs
+++ b/crates/testbed/src/decision_cost/driver.rs
@@ -16,7 +16,9 @@
 pub(super) const MESSAGES_PER_CYCLE: u32 = 5;
 /// Mean number of messages that each destination receives before the measurement begins.
 const WARM_UP_MESSAGES: u32 = 20;
-/// Decision cycles before the measurement, in addition to those of one service time.
+/// Decision cycles, of 1 ms of virtual time each, that follow the first service time until the number of
+/// calls in flight is stable. The whole warm-up takes `service_time / 1 ms + WARM_UP_CYCLES` cycles, and
+/// `destinations * WARM_UP_MESSAGES / MESSAGES_PER_CYCLE` more until all destinations have latency samples.
 const WARM_UP_CYCLES: u64 = 300;
 /// Number of waiting destinations: those that have sent a long Retry-After.
 const WAITING_DESTINATIONS: u32 = 8;
--- a/crates/testbed/src/fault_search.rs
+++ b/crates/testbed/src/fault_search.rs
@@ -22,7 +22,8 @@
 /// Number of runs in a generation of a search for losses. A generation in the second half of the runs mutates
 /// the scenario with the largest loss before it.
 const GENERATION_SIZE: u64 = 32;
-/// The fraction of the original loss that a shrunk scenario must still show.
+/// A scenario is shrunk only as long as its loss is at least this fraction of the loss before shrinking; see
+/// [`Severity::weight_loss`].
 const MIN_REMAINING_LOSS: f64 = 0.8;
 
 /// What a search looks for.
--- a/crates/testbed/src/fault_search/shrink.rs
+++ b/crates/testbed/src/fault_search/shrink.rs
@@ -9,7 +9,7 @@
 
 /// Faults that last longer than this, in seconds, are tried at half their duration.
 const MIN_HALVED_SECONDS: f64 = 0.3;
-/// Arguments of [`round_to`]: steps per unit that the figures of faults are rounded to.
+/// Arguments of [`round_to`] for the fields of faults, in steps per unit.
 const TENTHS: f64 = 10.0;
 const HUNDREDTHS: f64 = 100.0;
 
@@ -111,7 +111,8 @@
     }
 }
 
-/// Adds steps that halve the duration of a fault, round its figures, or clear its `hard` flag.
+/// Adds steps that simplify the fault at position `index`, each in one field: halve `lasts`, rounded to
+/// tenths of a second; round `at` to tenths of a second, or `size` or `part` to hundredths; clear `hard`.
 fn add_simpler_faults(steps: &mut Steps, index: usize) {
     if steps.from.scenario.faults[index].lasts > MIN_HALVED_SECONDS {
         steps.add_fault_change(index, |fault| fault.lasts = round_to(fault.lasts / 2.0, TENTHS));
